--- a/src/passrock/admission/controller/allocation_store.py
+++ b/src/passrock/admission/controller/allocation_store.py
@@ -18,7 +18,7 @@
     """An allocation with the version of its record, which is that of all its pages."""
 
     allocation: Allocation
-    version: int
+    mod_revision: int
     granted: dict[Flow, int]
     pages: int
 
@@ -42,10 +42,10 @@
         elif slot not in self._stored:
             self._assemble(slot, entry)
 
-    def put(self, allocation: Allocation, version: int, pages: int) -> None:
+    def put(self, allocation: Allocation, mod_revision: int, pages: int) -> None:
         """This node's own commit, which its copy of the state will show later."""
         if allocation.slot not in self._stored:
-            self._open(allocation, version, pages)
+            self._open(allocation, mod_revision, pages)
 
     def _assemble(self, slot: int, arrived: Entry) -> None:
         entries = self._entries()
@@ -54,7 +54,7 @@
             return
         try:
             pages = [entries.get(keys.allocation(slot, page)) for page in range(page_count(head.value))]
-            whole = [page for page in pages if page is not None and page.version == head.version]
+            whole = [page for page in pages if page is not None and page.mod_revision == head.mod_revision]
             if len(whole) < len(pages):
                 return  # the others follow
             allocation = decode_allocation([page.value for page in whole])
@@ -63,10 +63,10 @@
         except UnreadableAllocationError as problem:
             error("allocation_unreadable", key=head.key, problem=problem)
             return
-        self._open(allocation, head.version, len(pages))
+        self._open(allocation, head.mod_revision, len(pages))
 
-    def _open(self, allocation: Allocation, version: int, pages: int) -> None:
-        self._stored[allocation.slot] = Stored(allocation, version, allocation.granted(), pages)
+    def _open(self, allocation: Allocation, mod_revision: int, pages: int) -> None:
+        self._stored[allocation.slot] = Stored(allocation, mod_revision, allocation.granted(), pages)
         for callback in self.opened:
             callback(allocation)
 
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -17,7 +17,7 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.budget import rate_share
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import debug, error
 from passrock.settings import Settings
@@ -96,12 +96,12 @@
             self.demand.know_lives((node, column.life) for node, column in latest.allocation.columns.items())
         self._resumed = True
         self.pace.measured(self.write_delay())
-        self.demand.take(self.own_demand(), self.leadership.term, steady())
+        self.demand.take(self.own_demand(), self.leadership.term, monotonic_time())
         over = self.store.up_to(slot - SETTLED_AFTER)
         allocation = self._allocate(slot, latest, over)
-        conditions = {keys.LEADER: self.leadership.stamp}
+        conditions = {keys.LEADER: self.leadership.leader_revision}
         if latest is not None:
-            conditions[keys.allocation(latest.allocation.slot, 0)] = latest.version
+            conditions[keys.allocation(latest.allocation.slot, 0)] = latest.mod_revision
         writes: list[Write] = []
         pages = self._pages(allocation)
         for page, value in enumerate(pages):
@@ -117,7 +117,7 @@
 
     def _allocate(self, slot: int, latest: Stored | None, over: list[Stored]) -> Allocation:
         """What the controllers may admit in a slot, with the service that flows have received."""
-        demand = self.demand.demand(steady())
+        demand = self.demand.demand(monotonic_time())
         service = Service() if latest is None else self.outcomes.settle(latest, over)
         self.outcomes.note_wanted(slot, demand.values())
         lives = self.demand.lives()
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -27,7 +27,7 @@
 from passrock.controller.term import Term
 from passrock.core.model import Spec
 from passrock.core.records import PERMIT_MARK, Permit
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import Peers
 from passrock.io.state import StateClient
 from passrock.logs import info
@@ -123,7 +123,7 @@
         """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
         if self.leadership.leading:
             return True
-        answers = self.peers.answers(steady() - self.leadership.ttl)
+        answers = self.peers.answers(monotonic_time() - self.leadership.ttl)
         leading = [heartbeat for heartbeat, _ in answers if heartbeat.leading]
         if not leading:
             return True
@@ -142,7 +142,7 @@
 
     def outgoing(self) -> bytes:
         """The demand for the peers, reckoned anew at intervals."""
-        now = steady()
+        now = monotonic_time()
         if now - self._reported_at >= self.settings.report_s * REPORTS_EVERY or not self._message:
             self._reported_at = now
             self._message = encode_demand(self.report())
@@ -153,12 +153,12 @@
         try:
             report = decode_demand(node, data)
         except MalformedDemandError as problem:
-            now = steady()
+            now = monotonic_time()
             if now - self._complained_at >= COMPLAIN_EVERY_S:
                 self._complained_at = now
                 info("demand_malformed", node=node, problem=problem)
             return
-        self.demand.take(report, self.leadership.known_term, steady())
+        self.demand.take(report, self.leadership.known_term, monotonic_time())
 
     # -- leading ---------------------------------------------------------------------------------------------
 
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -73,7 +73,7 @@
                 flow = flow_of(job)
                 self.watch.note_start(flow, today)
                 self.starts[flow] = self.starts.get(flow, 0) + 1
-            elif job.chunk(attempt.index).attempts.get(attempt.index) is attempt:
+            elif job.page(attempt.index).attempts.get(attempt.index) is attempt:
                 waiting.append(attempt)
         self._placed = waiting
 
@@ -83,7 +83,7 @@
         return starts
 
     def _waiting(self, placer: Placer, now: float) -> Iterable[WaitingJob]:
-        for job in placer.book.jobs.values():
+        for job in placer.job_table.jobs.values():
             if job.waiting > 0 and not job.cancelled and job.final is None:
                 yield WaitingJob(job.spec.id, flow_of(job), job.submitted, self._obstacle(placer, job, now))
 
--- a/src/passrock/admission/controller/intake.py
+++ b/src/passrock/admission/controller/intake.py
@@ -64,7 +64,7 @@
         if stored is None or spent is None:
             return self._refuse(spec.id, flow, slot, now)
         self.demand.admitted(spec.id, flow, slot)
-        permit = Permit(keys.allocation(slot, 0), stored.version, [slot, self.grants.life])
+        permit = Permit(keys.allocation(slot, 0), stored.mod_revision, [slot, self.grants.life])
         self._under_way[spec.id] = Admitted(permit, spent, 1)
         return permit
 
--- a/src/passrock/admission/controller/outcomes.py
+++ b/src/passrock/admission/controller/outcomes.py
@@ -12,7 +12,7 @@
 from passrock.admission.core.demand import DemandTable, FlowDemand
 from passrock.admission.core.flows import Flow, Weights
 from passrock.admission.core.slots import SlotClock
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.logs import debug, info
 
 
@@ -60,7 +60,7 @@
     def _decision(self, stored: Stored, admitted: dict[Flow, int]) -> Decision:
         allocation = stored.allocation
         wanted = self._wanted.pop(allocation.slot, {})
-        reported = _together(self.demand.demand(steady()).values())
+        reported = _together(self.demand.demand(monotonic_time()).values())
         waits = {wait.flow: wait for wait in self.dispatch.waits}
         starts = self.dispatch.take_starts()
         refused = {flow: one.refused for flow, one in reported.items() if one.refused}
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -9,12 +9,12 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.fleet import Fleet
-from passrock.core.jobs import Book
+from passrock.core.jobs import JobTable
 from passrock.core.messages import TaskState
 from passrock.core.placement import Placer
 from passrock.core.renting import Market
 from passrock.core.reservation import Binding, Claim, Unit, bind, pages
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import info
 from passrock.settings import Settings
@@ -34,7 +34,7 @@
         settings: Settings,
         state: StateClient,
         leadership: Leadership,
-        book: Book,
+        job_table: JobTable,
         fleet: Fleet,
         market: Market,
         placer: Placer,
@@ -42,7 +42,7 @@
         self.settings = settings
         self.state = state
         self.leadership = leadership
-        self.book = book
+        self.job_table = job_table
         self.fleet = fleet
         self.market = market
         self.placer = placer
@@ -65,7 +65,7 @@
     def bring_forward(self) -> None:
         """Demand or machines changed: the next round comes early, though not at once again."""
         early = self._last + self.settings.operator.round_s * EARLY_ROUND
-        self._due = min(self._due, max(steady(), early))
+        self._due = min(self._due, max(monotonic_time(), early))
 
     def run_if_due(self, now: float) -> None:
         """Hold a round when its time has come."""
@@ -102,7 +102,7 @@
         """Where the machines' GPUs are, for the log."""
         sums = dict.fromkeys(("booting", "idle", "placed", "running", "stranded"), 0.0)
         for machine in self.fleet.machines.values():
-            attempts = self.book.held.get(machine.name, {}).values()
+            attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
             placed = sum(attempt.job.spec.need.gpus for attempt in attempts)
             if not machine.up:
                 sums["booting"] += machine.type.size.gpus
@@ -113,7 +113,7 @@
             running = sum(attempt.job.spec.need.gpus for attempt in attempts if attempt.state is TaskState.RUNNING)
             sums["running"] += running
             sums["placed"] += placed - running
-        waiting = sum(job.spec.need.gpus * job.waiting for job in self.book.jobs.values() if not job.cancelled)
+        waiting = sum(job.spec.need.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled)
         return {"machines": len(self.fleet.machines), "waiting": waiting, **sums}
 
     def _bind(self) -> Binding:
@@ -122,7 +122,7 @@
         for machine in self.fleet.machines.values():
             if machine.deleting or machine.notice_until is not None:
                 continue
-            attempts = self.book.held.get(machine.name, {})
+            attempts = self.job_table.attempts_by_machine.get(machine.name, {})
             teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
             units.append(Unit(machine.name, machine.zone, machine.type.size.gpus / whole, not attempts, teams))
         claims = []
@@ -142,14 +142,14 @@
         writes = self.state.writes
         names = sorted(changed, key=lambda key: (key.startswith(keys.HINT), key))
         while names:
-            while writes.spare(steady()) < RECORD_SPARE:
+            while writes.spare(monotonic_time()) < RECORD_SPARE:
                 await asyncio.sleep(self.settings.report_s / 4)
             count = max(1, min(self.settings.txn_ops, int(writes.burst * RECORD_SPARE / 2)))
             count = min(count, max(1, TXN_BYTES // self.settings.value_bytes))
             part, names = names[:count], names[count:]
             changes: list[Write] = [Put(key, changed[key]) for key in part]
             try:
-                result = await self.state.commit({keys.LEADER: self.leadership.stamp}, changes)
+                result = await self.state.commit({keys.LEADER: self.leadership.leader_revision}, changes)
             except StateError:
                 return  # the next round writes what still differs
             if not isinstance(result, Committed):
--- a/src/passrock/controller/checkin_handler.py
+++ b/src/passrock/controller/checkin_handler.py
@@ -10,11 +10,11 @@
 from passrock.controller.leadership import Leadership
 from passrock.core.checkin import Checkins
 from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Book
+from passrock.core.jobs import JobTable
 from passrock.core.messages import Command, Report
 from passrock.core.preemption import drain
 from passrock.core.renting import Market
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.logs import info
 from passrock.settings import Settings
 
@@ -26,7 +26,7 @@
         self,
         settings: Settings,
         leadership: Leadership,
-        book: Book,
+        job_table: JobTable,
         fleet: Fleet,
         market: Market,
         commit_queue: CommitQueue,
@@ -35,13 +35,13 @@
     ) -> None:
         self.settings = settings
         self.leadership = leadership
-        self.book = book
+        self.job_table = job_table
         self.fleet = fleet
         self.market = market
         self.commit_queue = commit_queue
         self.rounds = rounds
         self.evaluations = evaluations
-        self.checkins = Checkins(book, fleet, leadership.term)
+        self.checkins = Checkins(job_table, fleet, leadership.term)
 
     def handle(self, report: Report) -> list[Command] | Awaitable[list[Command] | None] | None:
         """Commands for a worker, whose lease is renewed by the answer; None when it must get no answer.
@@ -50,7 +50,7 @@
         its answer waits for the next evaluation and commit, for a small part of the report interval, so that
         what is placed there goes into it.
         """
-        now = steady()
+        now = monotonic_time()
         kind = self.market.types.get(report.type)
         if kind is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
@@ -63,18 +63,18 @@
         if self.checkins.changed:
             self._log_changes(machine, now)
             self.evaluations.request()
-        if self.book.dirty or self.book.finishing:
+        if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
         if machine.deleting:
             return None  # its deletion may take long: unanswered, its lease ends as well
         machine.answered = now
         if machine.notice_until is not None:
-            drain(self.book, machine.name)
+            drain(self.job_table, machine.name)
         if machine.confirmed and not was_usable:
             self.rounds.bring_forward()
             info("machine_up", machine=machine.name, zone=machine.zone, spot=machine.spot)
             self.evaluations.request()
-        attempts = self.book.held.get(machine.name)
+        attempts = self.job_table.attempts_by_machine.get(machine.name)
         if self.checkins.changed or (
             attempts is not None
             and any(attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values())
@@ -95,16 +95,16 @@
     async def _with_launches(
         self, machine: Machine, report: Report, commands: list[Command], before: int
     ) -> list[Command] | None:
-        end = steady() + self.settings.report_s / 4
-        while steady() < end:
-            attempts = self.book.held.get(machine.name, {}).values()
-            if self.evaluations.count > before and all(map(self.book.committed, attempts)):
+        end = monotonic_time() + self.settings.report_s / 4
+        while monotonic_time() < end:
+            attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+            if self.evaluations.count > before and all(map(self.job_table.attempt_committed, attempts)):
                 break
-            if not await self.evaluations.progress(end - steady()):
+            if not await self.evaluations.progress(end - monotonic_time()):
                 break
         if machine.deleting or self.fleet.machines.get(machine.name) is not machine:
             return None
         if self.leadership.may_launch():
             commands += self.checkins.launches(machine, report)
-        machine.answered = steady()
+        machine.answered = monotonic_time()
         return commands
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from passrock.controller import keys
-from passrock.core.jobs import Book, Chunk, Job
+from passrock.core.jobs import Job, JobTable, TaskPage
 from passrock.core.records import ATTEMPT_BYTES, CANCELLED, DONE, encode_spec
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import debug, info
 from passrock.wire.state import Delete, Put, Write
@@ -26,12 +26,12 @@
 class Batch:
     """One transaction and what it will have committed."""
 
-    def __init__(self, leader_stamp: int) -> None:
-        self.conditions: dict[str, int] = {keys.LEADER: leader_stamp}
+    def __init__(self, leader_revision: int) -> None:
+        self.conditions: dict[str, int] = {keys.LEADER: leader_revision}
         self.writes: list[Write] = []
-        self.chunks: list[tuple[Job, int, Chunk, int]] = []
+        self.pages: list[tuple[Job, int, TaskPage, int]] = []
         self.finals: list[tuple[Job, str]] = []
-        self.orphans: list[str] = []
+        self.orphaned_keys: list[str] = []
 
 
 class CommitQueue:
@@ -40,8 +40,8 @@
     def __init__(
         self,
         state: StateClient,
-        book: Book,
-        leader_stamp: int,
+        job_table: JobTable,
+        leader_revision: int,
         txn_ops: int,
         on_final: Callable[[str, str], None],
         on_commit: Callable[[], None],
@@ -49,10 +49,10 @@
     ) -> None:
         """``on_final`` gets a job's id and how it ended; ``on_lost`` is called when this node leads no longer."""
         self.state = state
-        self.book = book
-        self.leader_stamp = leader_stamp
+        self.job_table = job_table
+        self.leader_revision = leader_revision
         self.txn_ops = txn_ops
-        self.orphans: list[str] = []
+        self.orphaned_keys: list[str] = []
         self.removed: set[str] = set()
         self.wake = asyncio.Event()
         self.on_final = on_final
@@ -61,7 +61,9 @@
 
     def delay(self) -> float:
         """Seconds that the changes which wait now take at this node's rate."""
-        changes = len(self.book.dirty) + FINAL_WRITES * len(self.book.finishing) + len(self.orphans)
+        changes = (
+            len(self.job_table.uncommitted) + FINAL_WRITES * len(self.job_table.finalizing) + len(self.orphaned_keys)
+        )
         return changes / self.state.writes.rate
 
     async def run(self) -> None:
@@ -69,7 +71,7 @@
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while self.book.dirty or self.book.finishing or self.orphans:
+            while self.job_table.uncommitted or self.job_table.finalizing or self.orphaned_keys:
                 batch = self.build(await self._writes_left())
                 if not batch.writes:
                     break
@@ -83,11 +85,11 @@
         long. After a second without enough left, it takes its turn behind them.
         """
         budget = self.state.writes
-        least = FINAL_WRITES if self.book.finishing else 1
+        least = FINAL_WRITES if self.job_table.finalizing else 1
         reserve = min(max(SUBMISSIONS_LEAST, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
-        turn = steady() + budget.burst / budget.rate
-        while (left := budget.left(steady()) - reserve) < least:
-            now = steady()
+        turn = monotonic_time() + budget.burst / budget.rate
+        while (left := budget.left(monotonic_time()) - reserve) < least:
+            now = monotonic_time()
             if now >= turn:
                 return self.txn_ops
             await asyncio.sleep(max(SHORTEST_SLEEP_S, min((least - left) / budget.rate, turn - now)))
@@ -95,38 +97,38 @@
 
     def build(self, most: int) -> Batch:
         """The next transaction of up to ``most`` changes, inside the limit on its size."""
-        batch = Batch(self.leader_stamp)
+        batch = Batch(self.leader_revision)
         size_left = BATCH_BYTES
-        for job_id in list(self.book.finishing):
+        for job_id in list(self.job_table.finalizing):
             if len(batch.writes) + FINAL_WRITES > most:
                 break
-            self._finish(batch, self.book.jobs[job_id])
-        finishing = {job.spec.id for job, _ in batch.finals}
-        for job_id, number in list(self.book.dirty):
+            self._finish(batch, self.job_table.jobs[job_id])
+        finalizing = {job.spec.id for job, _ in batch.finals}
+        for job_id, number in list(self.job_table.uncommitted):
             if len(batch.writes) + 1 > most or size_left < 0:
                 break
-            if job_id in finishing:
+            if job_id in finalizing:
                 continue
-            job = self.book.jobs[job_id]
-            chunk = job.chunks[number]
-            value: dict[str, Any] = chunk.encode()
+            job = self.job_table.jobs[job_id]
+            page = job.pages[number]
+            value: dict[str, Any] = page.encode()
             if number == 0:
                 value = {"s": encode_spec(job.spec), "at": job.submitted, **value}
-            size_left -= RECORD_BYTES + ATTEMPT_BYTES * len(chunk.attempts)
-            key = keys.chunk(job_id, number)
-            batch.conditions[key] = chunk.stamp
+            size_left -= RECORD_BYTES + ATTEMPT_BYTES * len(page.attempts)
+            key = keys.task_page(job_id, number)
+            batch.conditions[key] = page.mod_revision
             batch.writes.append(Put(key, value))
-            batch.chunks.append((job, number, chunk, chunk.version))
-        while self.orphans and len(batch.writes) < most and not batch.finals:
-            key = self.orphans.pop()
+            batch.pages.append((job, number, page, page.version))
+        while self.orphaned_keys and len(batch.writes) < most and not batch.finals:
+            key = self.orphaned_keys.pop()
             batch.writes.append(Delete(key))
-            batch.orphans.append(key)
+            batch.orphaned_keys.append(key)
         return batch
 
     def _finish(self, batch: Batch, job: Job) -> None:
         job_id = job.spec.id
         status = CANCELLED if job.cancelled else DONE
-        batch.conditions[keys.job(job_id)] = job.chunk(0).stamp
+        batch.conditions[keys.job(job_id)] = job.page(0).mod_revision
         batch.conditions[keys.final(job_id)] = 0
         batch.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), {"s": status, "n": job.spec.tasks})]
         if job.cancelled:
@@ -140,24 +142,24 @@
         try:
             result = await self.state.commit(batch.conditions, batch.writes)
         except UnknownOutcomeError:
-            self.orphans += batch.orphans
+            self.orphaned_keys += batch.orphaned_keys
             return await self._reread(batch)
         except StateError as problem:
             debug("commit_failed", problem=problem)
-            self.orphans += batch.orphans
+            self.orphaned_keys += batch.orphaned_keys
             return False
         if isinstance(result, Committed):
-            for _, _, chunk, version in batch.chunks:
-                chunk.stamp = result.revision
-                chunk.committed = max(chunk.committed, version)
-            for job, number, chunk, version in batch.chunks:
-                if chunk.version == version:
-                    self.book.dirty.pop((job.spec.id, number), None)
+            for _, _, page, version in batch.pages:
+                page.mod_revision = result.revision
+                page.committed_version = max(page.committed_version, version)
+            for job, number, page, version in batch.pages:
+                if page.version == version:
+                    self.job_table.uncommitted.pop((job.spec.id, number), None)
             for job, status in batch.finals:
                 self._ended(job, status)
             self.on_commit()
             return True
-        self.orphans += batch.orphans
+        self.orphaned_keys += batch.orphaned_keys
         if keys.LEADER in result.failed:
             self.on_lost()
             return False
@@ -167,8 +169,10 @@
         info("job_over", job=job.spec.id, status=status)
         job.final = status
         self.removed.add(job.spec.id)
-        self.orphans += [keys.chunk(job.spec.id, n) for n, chunk in job.chunks.items() if n and chunk.stamp]
-        self.book.remove(job)
+        self.orphaned_keys += [
+            keys.task_page(job.spec.id, n) for n, page in job.pages.items() if n and page.mod_revision
+        ]
+        self.job_table.remove(job)
         self.on_final(job.spec.id, status)
 
     async def _reread(self, batch: Batch) -> bool:
@@ -177,19 +181,19 @@
         What was not confirmed stays dirty and is written again over whichever version is there now.
         """
         try:
-            for job, number, chunk, _ in batch.chunks:
-                entry, _ = await self.state.get(keys.chunk(job.spec.id, number))
-                chunk.stamp = entry.version if entry is not None else 0
+            for job, number, page, _ in batch.pages:
+                entry, _ = await self.state.get(keys.task_page(job.spec.id, number))
+                page.mod_revision = entry.mod_revision if entry is not None else 0
             for job, _ in batch.finals:
                 ended, _ = await self.state.get(keys.final(job.spec.id))
                 if ended is not None:
                     self._ended(job, ended.value["s"])
                     continue
                 entry, _ = await self.state.get(keys.job(job.spec.id))
-                job.chunk(0).stamp = entry.version if entry is not None else 0
+                job.page(0).mod_revision = entry.mod_revision if entry is not None else 0
                 mark, _ = await self.state.get(keys.cancel(job.spec.id))
                 if mark is not None and not job.cancelled:
-                    self.book.cancel(job, steady() + mark.value["at"] - time_of_day())
+                    self.job_table.cancel(job, monotonic_time() + mark.value["at"] - time_of_day())
         except StateError:
             return False
         return True
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -7,7 +7,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.rentals import Rentals
 from passrock.core.fleet import WORKER_WAIT_S, Fleet, Machine
-from passrock.core.jobs import Book
+from passrock.core.jobs import JobTable
 from passrock.core.model import Priority
 from passrock.core.preemption import drain
 from passrock.logs import info
@@ -26,13 +26,13 @@
     def __init__(
         self,
         settings: Settings,
-        book: Book,
+        job_table: JobTable,
         fleet: Fleet,
         leadership: Leadership,
         rentals: Rentals,
     ) -> None:
         self.settings = settings
-        self.book = book
+        self.job_table = job_table
         self.fleet = fleet
         self.leadership = leadership
         self.rentals = rentals
@@ -44,7 +44,11 @@
         self.clear_cancelled(now)
         fleet.wait_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
         # a machine that holds tasks of an earlier term counts too, though it may never report in this one
-        up = [m for m in fleet.machines.values() if not m.deleting and (m.up or m.name in self.book.held)]
+        up = [
+            m
+            for m in fleet.machines.values()
+            if not m.deleting and (m.up or m.name in self.job_table.attempts_by_machine)
+        ]
         if self._silence(up, now):
             return
         self._delete_deaf(up, now)
@@ -66,24 +70,28 @@
 
     def _end_lease(self, machine: Machine, now: float) -> None:
         """Free the tasks of a machine whose lease nobody can have renewed."""
-        if machine.name not in self.book.held:
+        if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.fleet.lease_over(machine, now, self.leadership.fenced_at):
+        if not self.fleet.lease_expired(machine, now, self.leadership.fenced_at):
             return
-        lost = self.book.lease_over(machine.name, now)
+        lost = self.job_table.lease_expired(machine.name, now)
         if lost:
             info("lease_over", machine=machine.name, tasks=lost)
 
     def _release(self, machine: Machine) -> None:
         """Give back a machine that is taken soon and is empty; empty a faulty one, and give it back then."""
-        if machine.notice_until is not None and machine.name not in self.book.held and not machine.strays:
+        if (
+            machine.notice_until is not None
+            and machine.name not in self.job_table.attempts_by_machine
+            and not machine.orphans
+        ):
             self.rentals.delete(machine)
-        failures = self.book.failures_against(machine) if machine.failed_jobs else 0
+        failures = self.job_table.failures_against(machine) if machine.failed_jobs else 0
         if failures <= 1:
             return
         info("machine_faulty", machine=machine.name, jobs=failures)
-        drain(self.book, machine.name)
-        if machine.name not in self.book.held:
+        drain(self.job_table, machine.name)
+        if machine.name not in self.job_table.attempts_by_machine:
             self.rentals.delete(machine)
 
     def _delete_late(self, now: float) -> None:
@@ -95,11 +103,11 @@
 
     def _resolve_unlisted(self) -> None:
         """Machines of records that neither the cloud's list nor a report shows: make sure that they are gone."""
-        for name in list(self.book.held):
+        for name in list(self.job_table.attempts_by_machine):
             if name not in self.fleet.machines and name not in self.fleet.deleted:
                 self.rentals.delete_unknown(name)
             elif name in self.fleet.deleted:
-                self.rentals.on_gone(name)
+                self.rentals.on_machine_lost(name)
 
     def clear_cancelled(self, now: float) -> None:
         """Have machines deleted that may hold tasks of cancelled jobs and don't report, before the time is up.
@@ -108,7 +116,7 @@
         an outage of the state service changes that.
         """
         due = now - self.settings.cancel_s * CLEAR_PART
-        for job in self.book.cancelled.values():
+        for job in self.job_table.cancelled.values():
             if job.cancelled_at > due:
                 continue
             for attempt in list(job.attempts()):
@@ -145,7 +153,7 @@
                     continue  # one cause for many may pass, or lie here
                 if missing > limit / 2 and quiet < fleet.silent_s + self.settings.report_s:
                     continue  # may be the first ones of a crowd
-                if machine.name in self.book.held or now - machine.heard > self.settings.lease_s:
+                if machine.name in self.job_table.attempts_by_machine or now - machine.heard > self.settings.lease_s:
                     info("machine_silent", machine=machine.name, for_s=round(now - machine.heard, 1))
                     self.given_up.append(now)
                     self.rentals.delete(machine)
@@ -158,7 +166,7 @@
         end of the time the cloud's list shows which have died. Replicas must be up again before: their machines
         are given up as the leases end, which frees them without waiting for the last doubt.
         """
-        attempts = self.book.held.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
             return self.settings.lease_s * CROWD_PATIENCE
         return self.fleet.return_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
--- a/src/passrock/controller/fleet_sizing.py
+++ b/src/passrock/controller/fleet_sizing.py
@@ -6,7 +6,7 @@
 
 from passrock.controller.rentals import Rentals
 from passrock.core.fleet import Fleet
-from passrock.core.jobs import Book, Job
+from passrock.core.jobs import Job, JobTable
 from passrock.core.model import Kind, Priority
 from passrock.core.placement import Placer
 from passrock.core.preemption import Preemption
@@ -22,7 +22,7 @@
     def __init__(
         self,
         settings: Settings,
-        book: Book,
+        job_table: JobTable,
         fleet: Fleet,
         market: Market,
         placer: Placer,
@@ -30,7 +30,7 @@
         rentals: Rentals,
     ) -> None:
         self.settings = settings
-        self.book = book
+        self.job_table = job_table
         self.fleet = fleet
         self.market = market
         self.placer = placer
@@ -40,7 +40,9 @@
     def adjust(self, queue: list[Job], now: float) -> None:
         """Rent for the waiting jobs and for the buffer; give back what nobody needs."""
         lacking = [job for job in queue if job.spec.kind is not Kind.GANG or not self.preemption.stopping_for(job)]
-        wanted = plan_rentals(lacking, self.book, self.fleet, self.settings.teams, self.market, self.placer.aims, now)
+        wanted = plan_rentals(
+            lacking, self.job_table, self.fleet, self.settings.teams, self.market, self.placer.aims, now
+        )
         production, room = self._zone_rooms()
         gap = zone_gap(production, room, self.settings.zones)
         if gap > 0:
@@ -59,7 +61,7 @@
             name: max(operator.idle_floor_s, operator.idle_boot_ratio * kind.boot_s)
             for name, kind in self.market.types.items()
         }
-        for machine in plan_returns(self.fleet, self.book, patience, now):
+        for machine in plan_returns(self.fleet, self.job_table, patience, now):
             room[machine.zone] -= machine.type.size.gpus
             if not machine.spot and zone_gap(production, room, self.settings.zones) > 0:
                 room[machine.zone] += machine.type.size.gpus  # part of the buffer for a lost zone
@@ -74,7 +76,7 @@
         """
         return any(
             job.spec.kind is Kind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
-            for job in self.book.jobs.values()
+            for job in self.job_table.jobs.values()
         )
 
     def _zone_rooms(self) -> tuple[dict[str, float], dict[str, float]]:
@@ -86,7 +88,7 @@
                 continue
             mine = sum(
                 attempt.job.spec.need.gpus
-                for attempt in self.book.held.get(machine.name, {}).values()
+                for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values()
                 if attempt.job.spec.priority is Priority.PRODUCTION
             )
             production[machine.zone] += mine * self.settings.operator.buffer_share
--- a/src/passrock/controller/keys.py
+++ b/src/passrock/controller/keys.py
@@ -2,7 +2,7 @@
 
 ROOT = "p/"
 JOB = "p/j/"
-CHUNK = "p/t/"
+TASK_PAGE = "p/t/"
 CANCEL = "p/c/"
 FINAL = "p/f/"
 INTENT = "p/q/"
@@ -20,9 +20,9 @@
     return JOB + job_id
 
 
-def chunk(job_id: str, number: int) -> str:
+def task_page(job_id: str, number: int) -> str:
     """Some of a job's tasks; the first ones are in the job's own record."""
-    return f"{CHUNK}{job_id}/{number}" if number else JOB + job_id
+    return f"{TASK_PAGE}{job_id}/{number}" if number else JOB + job_id
 
 
 def reservation(team: str, page: int) -> str:
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -12,7 +12,7 @@
 from passrock.core.cancellations import Cancellations, renewal_horizon, whole_until
 from passrock.core.fleet import DRIFT, silence_limit
 from passrock.core.lost_workers import LostWorkers
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.peers import Heartbeat, Peers
 from passrock.io.state import Committed, LeaseEndedError, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import info
@@ -46,8 +46,7 @@
         self.ttl = settings.leader_lease_s
         self.term = 0  # the term this node leads or last led, 0 for none
         self.leading = False
-        self.stamp = 0
-        self.revision = 0
+        self.leader_revision = 0
         self.deadline = -1e9
         self.known_term = 0
         self.fenced_at: float | None = None
@@ -72,7 +71,7 @@
 
     def holds_lease(self) -> bool:
         """Whether this node surely leads now: its key can't have run out."""
-        return self.leading and steady() < self.deadline
+        return self.leading and monotonic_time() < self.deadline
 
     def cancellations_whole_until(self, now: float) -> float:
         """Every cancellation that any controller has told a user before this time is known here."""
@@ -81,7 +80,7 @@
 
     def knows_cancellations(self, within_s: float) -> bool:
         """Whether every cancellation told to a user more than ``within_s`` ago is known here."""
-        now = steady()
+        now = monotonic_time()
         if now - self.replica.read_at <= within_s:
             return True  # the ordinary case: a read of the state alone proves it
         return now - self.cancellations_whole_until(now) <= within_s
@@ -107,10 +106,10 @@
             return True
         if not self.leading or self.peers is None or self.known_term > self.term:
             return False
-        if not self.state.down(steady(), 0.0):
+        if not self.state.down(monotonic_time(), 0.0):
             return False
         votes = 1
-        for heartbeat, _ in self.peers.answers(steady() - self._support_s):
+        for heartbeat, _ in self.peers.answers(monotonic_time() - self._support_s):
             if heartbeat.term > self.term:
                 return False
             if heartbeat.has_read and heartbeat.state_down and heartbeat.term == self.term:
@@ -130,7 +129,7 @@
         cancellation may have been told just before, and the last leases were given on knowledge up to
         ``horizon_s`` old, so no time is left to spend, and the leases run out unless the service is back.
         """
-        now = steady()
+        now = monotonic_time()
         if not self.knows_cancellations(self.horizon_s):
             return False
         if self.leading or self.peers is None or token < self.known_term or token == 0:
@@ -148,7 +147,7 @@
         A peer that says so itself comes first. The copy of the state counts only while the service is
         heard of: a node cut off from it would otherwise send workers to a leader of long ago.
         """
-        now = steady()
+        now = monotonic_time()
         if self.peers is not None:
             leading = [h for h, _ in self.peers.answers(now - self.ttl) if h.leading and h.term >= self.known_term]
             if leading:
@@ -167,15 +166,15 @@
             node=self.settings.node,
             term=self.known_term,
             leading=self.leading,
-            state_down=self.state.down(steady(), self.ttl / 4),
+            state_down=self.state.down(monotonic_time(), self.ttl / 4),
             has_read=self.replica.loaded,
-            redirects=self.lost_workers.count(self.known_term, steady()),
+            redirects=self.lost_workers.count(self.known_term, monotonic_time()),
             run=self.run_id,
             whole_age=self._whole_age(),
         )
 
     def _whole_age(self) -> float | None:
-        now = steady()
+        now = monotonic_time()
         until = self.cancellations_whole_until(now)
         return max(0.0, now - until) if math.isfinite(until) else None
 
@@ -186,7 +185,7 @@
         follower while the leader may be about to step down: every attempt at one that can't be reached costs
         a large part of the worker's lease.
         """
-        now = steady()
+        now = monotonic_time()
         leader = self.leader()
         lost = self.lost_workers
         if token and not self.leading:
@@ -206,16 +205,16 @@
         """How many workers came to other controllers lately instead of this one."""
         if self.peers is None:
             return 0
-        return sum(heartbeat.redirects for heartbeat, _ in self.peers.answers(steady() - self._support_s))
+        return sum(heartbeat.redirects for heartbeat, _ in self.peers.answers(monotonic_time() - self._support_s))
 
     def peer_hangs(self) -> bool:
         """Whether a controller stands still or is cut off, so that workers may be waiting for its answer."""
-        return self.peers is not None and self.peers.hanging(steady(), self.settings.report_s / 2)
+        return self.peers is not None and self.peers.hanging(monotonic_time(), self.settings.report_s / 2)
 
     def abdicate(self) -> None:
         """Leave the leadership to a node that the workers reach, before their leases end."""
         self.step_down("workers reach other controllers only")
-        self._rest_until = steady() + self.settings.lease_s / 2
+        self._rest_until = monotonic_time() + self.settings.lease_s / 2
         self._ending = asyncio.ensure_future(self._end(self._lease))
 
     async def _end(self, lease: int) -> None:
@@ -241,7 +240,7 @@
             return
         votes = 1 + sum(1 for heartbeat, _ in self.peers.answers(-1e8) if heartbeat.term >= self.term)
         if votes * 2 > self.settings.nodes:
-            self.fenced_at = steady() + self._support_s * DRIFT
+            self.fenced_at = monotonic_time() + self._support_s * DRIFT
 
     # -- the life of a leadership -------------------------------------------------------------
 
@@ -271,7 +270,7 @@
                 await asyncio.sleep(self.ttl / 10)
 
     async def _renew(self) -> None:
-        started = steady()
+        started = monotonic_time()
         try:
             await self.state.renew(self._lease, timeout=self.ttl / 3)
         except LeaseEndedError:
@@ -279,14 +278,14 @@
             return
         if started >= self.deadline:  # was out of time: make sure that the key is still ours
             entry, _ = await self.state.get(keys.LEADER, timeout=self.ttl / 3)
-            if entry is None or entry.version != self.stamp:
+            if entry is None or entry.mod_revision != self.leader_revision:
                 self.step_down("key lost")
                 return
         if self.leading:
             self.deadline = started + self.ttl / DRIFT
 
     async def _maybe_take(self) -> None:
-        if not self.replica.loaded or steady() < self._rest_until:
+        if not self.replica.loaded or monotonic_time() < self._rest_until:
             return
         entry = self.replica.get(keys.LEADER)
         term_entry = self.replica.get(keys.TERM)
@@ -298,12 +297,12 @@
             return
         # a key that names this very node is from before its restart: that process is dead
         await asyncio.sleep(self.rng.random() * self.ttl / 40)
-        started = steady()
+        started = monotonic_time()
         lease = await self.state.new_lease(self.ttl)
         term = max(self.known_term, int(term_entry.value) if term_entry else 0) + 1
         conditions = {
-            keys.LEADER: entry.version if entry else 0,
-            keys.TERM: term_entry.version if term_entry else 0,
+            keys.LEADER: entry.mod_revision if entry else 0,
+            keys.TERM: term_entry.mod_revision if term_entry else 0,
         }
         writes = [Put(keys.LEADER, {"node": self.settings.node, "term": term}, lease), Put(keys.TERM, term)]
         try:
@@ -315,7 +314,7 @@
         if not isinstance(result, Committed):
             await self.state.end_lease(lease)
             return
-        self._lease, self.stamp, self.revision = lease, result.revision, result.revision
+        self._lease, self.leader_revision = lease, result.revision
         self.term = self.known_term = term
         self.fenced_at = None
         self.leading = True
--- a/src/passrock/controller/loading.py
+++ b/src/passrock/controller/loading.py
@@ -8,40 +8,40 @@
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
 from passrock.core.fleet import Fleet
-from passrock.core.jobs import Book
-from passrock.io.clock import steady, time_of_day
+from passrock.core.jobs import JobTable
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.wire.state import Entry
 
 
 def load_records(
     replica: Replica,
     cancellations: Cancellations,
-    book: Book,
+    job_table: JobTable,
     fleet: Fleet,
     rounds: BindingRounds,
     commit_queue: CommitQueue,
 ) -> None:
     """Fill the books of a new term from this node's copy of the state."""
-    now = steady()
+    now = monotonic_time()
     jobs = sorted(replica.with_prefix(keys.JOB), key=lambda e: (e.value["at"], e.key))
     for entry in jobs:
-        book.load(entry.value, entry.version, now, time_of_day())
-    for entry in replica.with_prefix(keys.CHUNK):
-        job_id, _, number = entry.key[len(keys.CHUNK) :].rpartition("/")
-        job = book.jobs.get(job_id)
+        job_table.load(entry.value, entry.mod_revision, now, time_of_day())
+    for entry in replica.with_prefix(keys.TASK_PAGE):
+        job_id, _, number = entry.key[len(keys.TASK_PAGE) :].rpartition("/")
+        job = job_table.jobs.get(job_id)
         if job is None:
-            commit_queue.orphans.append(entry.key)
+            commit_queue.orphaned_keys.append(entry.key)
         else:
-            book.load_chunk(job, int(number), entry.value, entry.version)
+            job_table.load_page(job, int(number), entry.value, entry.mod_revision)
     for entry in replica.with_prefix(keys.CANCEL):
-        job = book.jobs.get(entry.key[len(keys.CANCEL) :])
+        job = job_table.jobs.get(entry.key[len(keys.CANCEL) :])
         if job is not None:
-            book.cancel(job, confirmed_at(entry))
-    for job in list(book.jobs.values()):
+            job_table.cancel(job, confirmed_at(entry))
+    for job in list(job_table.jobs.values()):
         heard = cancellations.when(job.spec.id)
         if heard is not None:  # a peer may have told of it before the copy shows the mark
-            book.cancel(job, heard)
-        book.check_loaded(job)
+            job_table.cancel(job, heard)
+        job_table.check_loaded(job)
     for prefix in (keys.RESERVATION, keys.MORE):
         for entry in replica.with_prefix(prefix):
             rounds.load(entry)
@@ -54,4 +54,4 @@
 
     Whoever takes over counts from then, not from its own beginning.
     """
-    return steady() - max(0.0, time_of_day() - mark.value["at"])
+    return monotonic_time() - max(0.0, time_of_day() - mark.value["at"])
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -19,7 +19,7 @@
 from passrock.core.cancellations import Cancellations
 from passrock.core.messages import Command, Op, Report, TaskState
 from passrock.core.renting import Market
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer, Request, Response
@@ -117,7 +117,7 @@
 
     def _listen(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.CANCEL) and entry is not None:
-            self.cancellations.learn(key[len(keys.CANCEL) :], steady())
+            self.cancellations.learn(key[len(keys.CANCEL) :], monotonic_time())
 
     def _cancelled(self, job_id: str) -> None:
         """A cancellation is committed: by this node itself, as a peer says, or as the copy of the state shows.
@@ -126,7 +126,7 @@
         service refuses it from that moment on.
         """
         if self.term is not None:
-            self.term.cancelled(job_id, steady())
+            self.term.cancelled(job_id, monotonic_time())
 
     # -- requests -----------------------------------------------------------------------------------
 
@@ -152,7 +152,7 @@
         """
         if not self.replica.loaded or not self.market.types:
             return False
-        now = steady()
+        now = monotonic_time()
         if not self.state.down(now, 1.5):
             return True
         answers = self.peers.answers(now - 3.0)
@@ -258,7 +258,7 @@
         every = self.settings.leader_lease_s / 2
         while True:
             await asyncio.sleep(every)
-            if steady() - self.state.last_good > every:
+            if monotonic_time() - self.state.last_good > every:
                 try:
                     await self.state.get(keys.NOWHERE, timeout=every)
                 except StateError:
--- a/src/passrock/controller/rentals.py
+++ b/src/passrock/controller/rentals.py
@@ -11,7 +11,7 @@
 from passrock.core.fleet import Fleet, Machine
 from passrock.core.messages import ListedMachine
 from passrock.core.renting import MOST_PER_RENTAL, Market, Offer
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError, NoCapacityError
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import debug, info
@@ -40,7 +40,7 @@
         self.market = market
         self.fleet = fleet
         self.leadership = leadership
-        self.on_gone: Callable[[str], None] = lambda name: None
+        self.on_machine_lost: Callable[[str], None] = lambda name: None
         self.on_change: Callable[[], None] = lambda: None
         self.pending: dict[Offer, int] = {}
         self.leaving: dict[str, None] = {}
@@ -78,7 +78,7 @@
             if not written:
                 value = {"ty": offer.type, "z": offer.zone, "sp": offer.spot, "n": count}
                 result = await self.state.commit(
-                    {keys.LEADER: self.leadership.stamp}, [Put(keys.INTENT + name, value)]
+                    {keys.LEADER: self.leadership.leader_revision}, [Put(keys.INTENT + name, value)]
                 )
                 if not isinstance(result, Committed):
                     self.leadership.step_down("leader key lost")
@@ -107,19 +107,19 @@
             kind = self.market.types[offer.type]
             for machine in machines:
                 if machine not in self.fleet.deleted:
-                    self.fleet.add(machine, kind, offer.zone, offer.spot, steady())
+                    self.fleet.add(machine, kind, offer.zone, offer.spot, monotonic_time())
             self._spawn(self._settle(name, set(machines)))
             return
 
     def _refuse(self, offer: Offer) -> None:
-        self.market.refuse(offer, steady() + self.market.types[offer.type].boot_s / 2)
+        self.market.refuse(offer, monotonic_time() + self.market.types[offer.type].boot_s / 2)
 
     async def _settle(self, name: str, machines: set[str]) -> None:
         """Drop the intent once its machines would be found without it."""
         if machines:
             await asyncio.sleep(self.settings.list_lag_s * 4)
         try:
-            await self.state.commit({keys.LEADER: self.leadership.stamp}, [Delete(keys.INTENT + name)])
+            await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
         except StateError:
             debug("intent_kept", request=name)
 
@@ -152,8 +152,8 @@
                 for name in names:
                     self.leaving.pop(name, None)
                     self._listed_up.pop(name, None)
-                    self.fleet.forget(name, steady())
-                    self.on_gone(name)
+                    self.fleet.forget(name, monotonic_time())
+                    self.on_machine_lost(name)
 
     # -- the list -----------------------------------------------------------------------------------
 
@@ -168,7 +168,7 @@
             await asyncio.sleep(max(self.settings.list_lag_s, 2.0))
 
     def _listed(self, rows: list[ListedMachine]) -> None:
-        now = steady()
+        now = monotonic_time()
         for row in rows:
             kind = self.market.types.get(row.type)
             if row.name in self.fleet.deleted or kind is None:
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -9,7 +9,7 @@
 from threading import Lock
 
 from passrock.controller import keys
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.state import CompactedError, StateClient, StateError
 from passrock.logs import info
 from passrock.wire.state import Change, Entry
@@ -21,7 +21,7 @@
 READ_WAIT_S = 0.4  # a read waits no longer for that: a user waits 2 s for an answer
 LOADED = (
     keys.JOB,
-    keys.CHUNK,
+    keys.TASK_PAGE,
     keys.CANCEL,
     keys.INTENT,
     keys.RESERVATION,
@@ -56,7 +56,7 @@
             try:
                 if not self.loaded:
                     await self._load()
-                started = steady()
+                started = monotonic_time()
                 changes, revision = await self.state.changes(keys.ROOT, self.revision, WATCH_MS)
                 self._take(changes, revision)
                 self.proved(started)
@@ -68,7 +68,7 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _load(self) -> None:
-        started = steady()
+        started = monotonic_time()
         fresh: dict[str, Entry] = {}
         start: int | None = None
         for prefix in self.prefixes:
@@ -98,14 +98,14 @@
 
     def _take(self, changes: list[Change], revision: int) -> None:
         for change in changes:
-            entry = Entry(change.key, change.value, change.version) if change.present else None
+            entry = Entry(change.key, change.value, change.mod_revision) if change.present else None
             if change.key.startswith(keys.FINAL):
                 if entry is not None:
                     self.note_final(change.key[len(keys.FINAL) :], entry.value["s"])
                 continue
             with self._lock:
                 known = self.entries.get(change.key)
-                if known is not None and known.version > change.version:
+                if known is not None and known.mod_revision > change.mod_revision:
                     continue
                 if entry is None:
                     self.entries.pop(change.key, None)
@@ -173,12 +173,12 @@
         this one is sent everybody joins it, so that there is never more than one.
         """
         requests = self.state.requests
-        return min(READ_WAIT_S, requests.wait(steady(), reserve=requests.burst * COMMIT_SHARE))
+        return min(READ_WAIT_S, requests.wait(monotonic_time(), reserve=requests.burst * COMMIT_SHARE))
 
     async def _read(self) -> bool:
         await asyncio.sleep(max(self.gap, self._wait_for_budget()))
         self._next = None  # whoever asks from here on needs a later read
-        started = steady()
+        started = monotonic_time()
         try:
             _, revision = await self.state.get(keys.NOWHERE, timeout=1.0)
         except StateError:
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -98,7 +98,7 @@
             conditions[keys.job(job_id)] = 0
             conditions[keys.final(job_id)] = 0
             if permit is not None:
-                conditions[permit.key] = permit.version
+                conditions[permit.key] = permit.mod_revision
             mark = permit.mark if permit is not None else None
             writes.append(Put(keys.job(job_id), new_record(pending.spec, time_of_day(), mark)))
         try:
--- a/src/passrock/controller/term.py
+++ b/src/passrock/controller/term.py
@@ -19,13 +19,13 @@
 from passrock.core.aims import Aims
 from passrock.core.cancellations import Cancellations
 from passrock.core.fleet import Fleet
-from passrock.core.jobs import Book, Job, TaskAttempt
+from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.model import Priority
 from passrock.core.placement import Placer
 from passrock.core.preemption import Preemption, stop_softly
-from passrock.core.records import chunk_tasks
+from passrock.core.records import tasks_per_page
 from passrock.core.renting import Market
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.cloud import CloudClient
 from passrock.io.state import StateClient
 from passrock.logs import error, info
@@ -54,36 +54,38 @@
         self.cancellations = cancellations
         self.leadership = leadership
         self.market = market
-        began = steady()
+        began = monotonic_time()
         operator = settings.operator
-        self.book = Book(chunk_tasks(settings.value_bytes))
+        self.job_table = JobTable(tasks_per_page(settings.value_bytes))
         self.fleet = Fleet(settings.report_s, settings.lease_s, operator.silent_ratio, began, leadership.term)
         self.evaluations = Evaluations()
         self.bound: dict[str, str] = {}
         keep_after = operator.begin_within_s * operator.keep_room_ratio
         aims = Aims(settings.objectives, keep_after)
-        self.placer = Placer(self.book, self.fleet, settings.teams, self.bound, aims)
+        self.placer = Placer(self.job_table, self.fleet, settings.teams, self.bound, aims)
         self.preemption = Preemption(self.placer)
         self.commit_queue = CommitQueue(
             state,
-            self.book,
-            leadership.stamp,
+            self.job_table,
+            leadership.leader_revision,
             settings.txn_ops,
             on_final=replica.note_final,
             on_commit=self.evaluations.progressed,
             on_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.rentals = Rentals(settings, state, cloud, market, self.fleet, leadership)
-        self.rentals.on_gone = self.machine_gone
+        self.rentals.on_machine_lost = self.machine_lost
         self.rentals.on_change = self.evaluations.request
-        self.failure_detector = FailureDetector(settings, self.book, self.fleet, leadership, self.rentals)
-        self.sizing = FleetSizing(settings, self.book, self.fleet, market, self.placer, self.preemption, self.rentals)
+        self.failure_detector = FailureDetector(settings, self.job_table, self.fleet, leadership, self.rentals)
+        self.sizing = FleetSizing(
+            settings, self.job_table, self.fleet, market, self.placer, self.preemption, self.rentals
+        )
         self.ready = False
-        self.rounds = BindingRounds(settings, state, leadership, self.book, self.fleet, market, self.placer)
+        self.rounds = BindingRounds(settings, state, leadership, self.job_table, self.fleet, market, self.placer)
         self.checkins = CheckinHandler(
             settings,
             leadership,
-            self.book,
+            self.job_table,
             self.fleet,
             market,
             self.commit_queue,
@@ -120,7 +122,7 @@
             raise
 
     async def _run(self) -> None:
-        while not await self.replica.reach(self.leadership.revision, 1.0):
+        while not await self.replica.reach(self.leadership.leader_revision, 1.0):
             pass
         while not self.market.types:
             await asyncio.sleep(0.1)
@@ -132,16 +134,21 @@
         self.rentals.resume(self.replica.with_prefix(keys.INTENT))
         while True:
             await self.evaluations.requested(self.settings.report_s / 4)
-            began = steady()
+            began = monotonic_time()
             self.evaluate()
             # an evaluation takes longer the more there is: it may have a part of the processor, never all of it
-            await asyncio.sleep(max(self.settings.report_s / 20, (steady() - began) * EVALUATION_REST))
+            await asyncio.sleep(max(self.settings.report_s / 20, (monotonic_time() - began) * EVALUATION_REST))
 
     def _load(self) -> None:
-        load_records(self.replica, self.cancellations, self.book, self.fleet, self.rounds, self.commit_queue)
+        load_records(self.replica, self.cancellations, self.job_table, self.fleet, self.rounds, self.commit_queue)
         self.replica.listeners.append(self._listen)
         self.ready = True
-        info("term_ready", term=self.leadership.term, jobs=len(self.book.jobs), machines=len(self.book.held))
+        info(
+            "term_ready",
+            term=self.leadership.term,
+            jobs=len(self.job_table.jobs),
+            machines=len(self.job_table.attempts_by_machine),
+        )
         self.commit_queue.wake.set()
 
     def _listen(self, key: str, entry: Entry | None) -> None:
@@ -150,8 +157,8 @@
             job_id = key[len(keys.JOB) :]
             if entry is None:
                 self.commit_queue.removed.discard(job_id)
-            elif job_id not in self.book.jobs and job_id not in self.commit_queue.removed:
-                job = self.book.load(entry.value, entry.version, steady(), time_of_day())
+            elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.removed:
+                job = self.job_table.load(entry.value, entry.mod_revision, monotonic_time(), time_of_day())
                 self.rounds.bring_forward()
                 if job.spec.priority is Priority.PRODUCTION:
                     self._plan_due = 0.0  # it displaces other work at once, best before that is launched
@@ -172,18 +179,18 @@
 
     def cancelled(self, job_id: str, at: float) -> None:
         """A cancellation is committed, as the copy of the state or a peer says."""
-        job = self.book.jobs.get(job_id)
+        job = self.job_table.jobs.get(job_id)
         if job is None or not self.ready:
             return
         if not job.cancelled:
             info("job_cancelled", job=job_id)
-        self.book.cancel(job, at)
+        self.job_table.cancel(job, at)
         self.commit_queue.wake.set()
         self.evaluations.request()
 
-    def machine_gone(self, name: str) -> None:
+    def machine_lost(self, name: str) -> None:
         """The cloud has confirmed that a machine is gone."""
-        lost = self.book.machine_gone(name, steady())
+        lost = self.job_table.machine_lost(name, monotonic_time())
         self.bound.pop(name, None)
         self.rounds.bring_forward()
         info("machine_gone", machine=name, tasks=lost)
@@ -194,7 +201,7 @@
 
     def evaluate(self) -> None:
         """Evidence and placement; at longer intervals preemption, renting, and a round when one is due."""
-        now = steady()
+        now = monotonic_time()
         if now - self._last_evaluation > self.settings.report_s:
             self.fleet.began = now  # this process stood still: silence in that time proves nothing
         self._last_evaluation = now
@@ -224,7 +231,7 @@
             self._preempt(self.placer.waiting, now)
             self.sizing.adjust(self.placer.waiting, now)
         self.rounds.run_if_due(now)
-        if self.book.dirty or self.book.finishing:
+        if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
         self.evaluations.finished()
 
@@ -236,9 +243,9 @@
             for attempt in self.preemption.make_room(job, now, early):
                 info("preempt", job=attempt.job.spec.id, task=attempt.index, machine=attempt.machine, by=job.spec.id)
                 stop_softly(attempt, self.settings.gang_peer_s)
-                if self.book.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
-                    self.book.gone(attempt, now)
+                if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
+                    self.job_table.attempt_lost(attempt, now)
                     self.evaluations.request()
                 machine = self.fleet.machines.get(attempt.machine)
                 if machine is not None:
-                    self.book.recount(machine, now)
+                    self.job_table.recompute_usage(machine, now)
--- a/src/passrock/controller/users.py
+++ b/src/passrock/controller/users.py
@@ -15,10 +15,10 @@
 from passrock.core.cancellations import Cancellations
 from passrock.core.limiter import Limiter
 from passrock.core.model import Spec
-from passrock.core.records import CANCELLED, DONE, Permit, chunk_tasks, fits_record
+from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
 from passrock.core.renting import Market
 from passrock.core.submission_checks import fault
-from passrock.io.clock import steady, time_of_day
+from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.http_server import Request, Response
 from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import debug
@@ -78,7 +78,7 @@
             settings, slack
         )  # submissions and cancellations, which no number of questions may hold up
         self.fence = ReadFence(state, replica, 1.0 / settings.state_rps)
-        self.chunk_size = chunk_tasks(settings.value_bytes)
+        self.page_size = tasks_per_page(settings.value_bytes)
         self.submitter = Submitter(state, settings.txn_ops)
         self.gate: IntakeGate | None = None  # fair admission, where it is switched on
 
@@ -112,7 +112,7 @@
         return self._measured(limiter, work)
 
     async def _measured(self, limiter: Limiter, work: Awaitable[Response]) -> Response:
-        started = steady()
+        started = monotonic_time()
         failed = True
         try:
             response = await work
@@ -122,7 +122,7 @@
             debug("user_unserved", problem=problem)
             return _refuse(limiter, 503)
         finally:
-            limiter.leave(steady() - started, failed)
+            limiter.leave(monotonic_time() - started, failed)
 
     # -- what is known ------------------------------------------------------------------------
 
@@ -135,11 +135,11 @@
         value = entry.value
         spec = value["s"]
         done, running = int(value["d"], 16).bit_count(), len(value["l"])
-        for number in range(1, math.ceil(spec["n"] / self.chunk_size)):
-            chunk = self.replica.get(keys.chunk(job_id, number))
-            if chunk is not None:
-                done += int(chunk.value["d"], 16).bit_count()
-                running += len(chunk.value["l"])
+        for number in range(1, math.ceil(spec["n"] / self.page_size)):
+            page = self.replica.get(keys.task_page(job_id, number))
+            if page is not None:
+                done += int(page.value["d"], 16).bit_count()
+                running += len(page.value["l"])
         return JobStatus("running" if running else "queued", done, running)
 
     async def _look_up(self, job_id: str) -> JobStatus | None:
@@ -153,14 +153,14 @@
                 if known is not None:
                     return known
                 break
-            if self.state.down(steady(), 0.0):
+            if self.state.down(monotonic_time(), 0.0):
                 raise UnavailableError("the state service is down")
         else:
             entry, _ = await self.state.get(keys.job(job_id), timeout=0.8)
             if entry is not None:  # the copy lags: whether it is cancelled has to be read as well
                 mark, _ = await self.state.get(keys.cancel(job_id), timeout=0.8)
                 if mark is not None:
-                    self.cancellations.learn(job_id, steady())
+                    self.cancellations.learn(job_id, monotonic_time())
                     return JobStatus(CANCELLED)
                 # the job may have ended between the two reads, and its mark with it
                 ended, _ = await self.state.get(keys.final(job_id), timeout=0.8)
@@ -191,7 +191,7 @@
         problem_text = fault(spec, self.settings.teams, types)
         if problem_text is not None and not self._known_job(spec.id):
             return Response(422, wire.error_answer(problem_text))
-        if self.state.writes.wait(steady()) > 1.0:
+        if self.state.writes.wait(monotonic_time()) > 1.0:
             return _refuse(self.changes, 429)
         if self.gate is None or self._known_job(spec.id):
             return self._limited(self.changes, self._submit(spec, None))
@@ -210,7 +210,7 @@
         refused = Response(
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
-        if self.state.requests.spare(steady()) < SPARE_FOR_RETRIES or not self.questions.enter():
+        if self.state.requests.spare(monotonic_time()) < SPARE_FOR_RETRIES or not self.questions.enter():
             return refused
         return self._measured(self.questions, self._known_or(spec.id, refused))
 
@@ -273,6 +273,6 @@
             except UnknownOutcomeError:
                 continue  # read again: it may have been applied
             if isinstance(result, Committed):
-                self.cancellations.learn(job_id, steady())
+                self.cancellations.learn(job_id, monotonic_time())
                 return Response(200, wire.brief_answer(job_id, CANCELLED))
         raise UnavailableError("undecided")
--- a/src/passrock/core/checkin.py
+++ b/src/passrock/core/checkin.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Book, Job, TaskAttempt
+from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.messages import Command, Op, Report, TaskReport, TaskState
 from passrock.core.model import NOTHING, Resources
 
@@ -14,8 +14,8 @@
 class Checkins:
     """Turns reports into changes of the book and commands."""
 
-    def __init__(self, book: Book, fleet: Fleet, term: int) -> None:
-        self.book = book
+    def __init__(self, job_table: JobTable, fleet: Fleet, term: int) -> None:
+        self.job_table = job_table
         self.fleet = fleet
         self.term = term
         self.changed = False
@@ -29,15 +29,15 @@
         self.exits = []
         self.begun = []
         commands: list[Command] = []
-        held = self.book.held.get(machine.name, {})
+        held = self.job_table.attempts_by_machine.get(machine.name, {})
         for attempt in [one for one in held.values() if one.session < report.session]:
             self._gone(attempt, now)  # a later session has forgotten every task of the earlier ones
-        strays: dict[tuple[str, int], Resources] = {}
+        orphans: dict[tuple[str, int], Resources] = {}
         fetching: dict[str, float] = {}
         listed: set[tuple[str, int, int]] = set()
         for row in report.tasks:
             listed.add((row.job, row.index, row.attempt_number))
-            recorded = self.book.held.get(machine.name, {}).get((row.job, row.index))
+            recorded = self.job_table.attempts_by_machine.get(machine.name, {}).get((row.job, row.index))
             match = (
                 recorded is not None and recorded.number == row.attempt_number and recorded.session == report.session
             )
@@ -49,12 +49,12 @@
                     fetching[recorded.job.spec.image] = recorded.job.spec.image_gb
                 commands += self._stop(recorded, row)
             else:
-                job = self.book.jobs.get(row.job)
-                strays[(row.job, row.index)] = NOTHING if job is None else job.spec.need
+                job = self.job_table.jobs.get(row.job)
+                orphans[(row.job, row.index)] = NOTHING if job is None else job.spec.need
                 commands.append(Command(Op.STOP, row.job, row.index, row.attempt_number))
-        machine.strays = strays
+        machine.orphans = orphans
         self.unheeded = False
-        for attempt in list(self.book.held.get(machine.name, {}).values()):
+        for attempt in list(self.job_table.attempts_by_machine.get(machine.name, {}).values()):
             if (attempt.job.spec.id, attempt.index, attempt.number) not in listed:
                 commands += self._absent(attempt, report, machine, launch, now)
                 if attempt.state is None:
@@ -62,7 +62,7 @@
         if self.unheeded:
             machine.ignored(now)
         machine.fetching = {image: gb for image, gb in fetching.items() if image not in machine.images}
-        self.book.recount(machine, now)
+        self.job_table.recompute_usage(machine, now)
         return commands
 
     def _ended(
@@ -80,14 +80,14 @@
                 attempt.state = None
                 return [Command(op, row.job, row.index, row.attempt_number) for op in (Op.FORGET, Op.START)]
             self._exited(attempt, row, machine, now)
-        if self.book.settled(row.job, row.index) and launch:
+        if self.job_table.task_committed(row.job, row.index) and launch:
             return [Command(Op.FORGET, row.job, row.index, row.attempt_number)]
         return []
 
     def launches(self, machine: Machine, report: Report) -> list[Command]:
         """Starts whose records were committed while the answer to this report was being made."""
         commands = []
-        for attempt in list(self.book.held.get(machine.name, {}).values()):
+        for attempt in list(self.job_table.attempts_by_machine.get(machine.name, {}).values()):
             if (
                 attempt.launch_sequence is None
                 and not attempt.reported
@@ -99,7 +99,7 @@
 
     def _gone(self, attempt: TaskAttempt, now: float) -> None:
         self.changed = True
-        self.book.gone(attempt, now)
+        self.job_table.attempt_lost(attempt, now)
 
     def _present(self, attempt: TaskAttempt, row: TaskReport, machine: Machine, now: float) -> None:
         if not attempt.reported:
@@ -141,7 +141,7 @@
         if proof and (unwanted or attempt.reported) and now is not None:
             self._gone(attempt, now)
             return []
-        if unwanted or not launch or not self.book.committed(attempt):
+        if unwanted or not launch or not self.job_table.attempt_committed(attempt):
             return []
         if proof and attempt.launch_sequence is not None:
             self.unheeded = True  # the launch was sent, and the next report shows nothing of it
@@ -155,7 +155,7 @@
         if row.why == "done":
             machine.failed_jobs.pop(job.spec.id, None)
             job.errors = 0
-            self.book.completed(attempt)
+            self.job_table.attempt_completed(attempt)
             return
         if row.why == "error":
             self._failed(job, machine, now)
@@ -163,7 +163,7 @@
             machine.blocked_until = now + self.fleet.report_s * 2
         elif row.why == "unknown":
             job.not_before = now + self.fleet.report_s * 2
-        self.book.gone(attempt, now)
+        self.job_table.attempt_lost(attempt, now)
 
     def _wait_on(self, attempt: TaskAttempt, row: TaskReport) -> bool:
         """A gang task gave up waiting while its mates still fetch their image: start it again there.
--- a/src/passrock/core/fleet.py
+++ b/src/passrock/core/fleet.py
@@ -52,14 +52,14 @@
     failed_jobs: dict[str, float] = msgspec.field(default_factory=dict)
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     fetching: dict[str, float] = msgspec.field(default_factory=dict)
-    strays: dict[tuple[str, int], Resources] = msgspec.field(default_factory=dict)
+    orphans: dict[tuple[str, int], Resources] = msgspec.field(default_factory=dict)
     used: Resources = NOTHING
 
     @property
     def room(self) -> Resources:
         """What is left for further tasks."""
         free = self.type.size - self.used
-        for amount in self.strays.values():
+        for amount in self.orphans.values():
             free = free - amount
         return free
 
@@ -70,7 +70,7 @@
             need.gpus <= size.gpus - used.gpus + EPSILON
             and need.cpus <= size.cpus - used.cpus + EPSILON
             and need.memory <= size.memory - used.memory + EPSILON
-            and (not self.strays or need.fits(self.room))
+            and (not self.orphans or need.fits(self.room))
         )
 
     @property
@@ -245,7 +245,7 @@
             and machine.blocked_until <= now
         )
 
-    def lease_over(self, machine: Machine, now: float, fenced_at: float | None) -> bool:
+    def lease_expired(self, machine: Machine, now: float, fenced_at: float | None) -> bool:
         """Whether the worker's lease has ended and nobody can have renewed it.
 
         ``fenced_at`` is when a majority of controllers had acknowledged this leader's term and the
--- a/src/passrock/core/jobs.py
+++ b/src/passrock/core/jobs.py
@@ -16,7 +16,7 @@
 
 def new_record(spec: Spec, submitted: float, mark: list[int] | None = None) -> dict[str, Any]:
     """The first record of an accepted job, with the mark of its permit if it needed one."""
-    record = {"s": encode_spec(spec), "at": submitted, **Chunk(0, spec.tasks).encode()}
+    record = {"s": encode_spec(spec), "at": submitted, **TaskPage(0, spec.tasks).encode()}
     if mark is not None:
         record[PERMIT_MARK] = mark
     return record
@@ -45,7 +45,7 @@
         return self.job.spec.id, self.index
 
 
-class Chunk(msgspec.Struct):
+class TaskPage(msgspec.Struct):
     """The part of a job's tasks that one record holds."""
 
     first: int
@@ -53,9 +53,9 @@
     attempt_number: int = 0
     done: int = 0
     attempts: dict[int, TaskAttempt] = msgspec.field(default_factory=dict)
-    stamp: int = 0
+    mod_revision: int = 0
     version: int = 0
-    committed: int = 0
+    committed_version: int = 0
 
     def encode(self) -> dict[str, Any]:
         """The chunk for its record."""
@@ -69,12 +69,12 @@
 class Job:
     """A job with its tasks."""
 
-    def __init__(self, spec: Spec, submitted: float, chunk_size: int, order: float) -> None:
+    def __init__(self, spec: Spec, submitted: float, page_size: int, order: float) -> None:
         self.spec = spec
         self.submitted = submitted
         self.order = order
-        self.chunk_size = chunk_size
-        self.chunks: dict[int, Chunk] = {}
+        self.page_size = page_size
+        self.pages: dict[int, TaskPage] = {}
         self.cancelled = False
         self.cancelled_at = math.inf  # by the steady clock, no later than the user was told
         self.final: str | None = None
@@ -87,20 +87,20 @@
         self.avoid: set[str] = set()
         self.waiting_since = order
 
-    def chunk(self, index: int) -> Chunk:
+    def page(self, index: int) -> TaskPage:
         """The chunk with this task; made when first needed."""
-        number = index // self.chunk_size
-        chunk = self.chunks.get(number)
-        if chunk is None:
-            first = number * self.chunk_size
-            chunk = Chunk(first, min(self.chunk_size, self.spec.tasks - first))
-            self.chunks[number] = chunk
-        return chunk
+        number = index // self.page_size
+        page = self.pages.get(number)
+        if page is None:
+            first = number * self.page_size
+            page = TaskPage(first, min(self.page_size, self.spec.tasks - first))
+            self.pages[number] = page
+        return page
 
     def is_done(self, index: int) -> bool:
         """Whether this task has completed."""
-        chunk = self.chunks.get(index // self.chunk_size)
-        return chunk is not None and bool(chunk.done >> (index - chunk.first) & 1)
+        page = self.pages.get(index // self.page_size)
+        return page is not None and bool(page.done >> (index - page.first) & 1)
 
     @property
     def is_suspect(self) -> bool:
@@ -109,13 +109,13 @@
 
     def attempts(self) -> Iterator[TaskAttempt]:
         """All attempts that are or may be on machines."""
-        for chunk in self.chunks.values():
-            yield from chunk.attempts.values()
+        for page in self.pages.values():
+            yield from page.attempts.values()
 
     def has_attempt(self, index: int) -> bool:
         """Whether an attempt of this task is or may be on a machine."""
-        chunk = self.chunks.get(index // self.chunk_size)
-        return chunk is not None and index in chunk.attempts
+        page = self.pages.get(index // self.page_size)
+        return page is not None and index in page.attempts
 
     @property
     def waiting(self) -> int:
@@ -146,8 +146,8 @@
     def next_attempt_number(self, index: int) -> int:
         """The number of the next attempt; one for all tasks of a gang."""
         if self.spec.kind is Kind.GANG:
-            return max((chunk.attempt_number for chunk in self.chunks.values()), default=0) + 1
-        return self.chunk(index).attempt_number + 1
+            return max((page.attempt_number for page in self.pages.values()), default=0) + 1
+        return self.page(index).attempt_number + 1
 
     def zone_counts(self, fleet: Fleet) -> dict[str, int]:
         """How many tasks are or may be in each zone."""
@@ -169,131 +169,131 @@
     )
 
 
-class Book:
+class JobTable:
     """All unfinished jobs, which machine holds what, and which records await their commit."""
 
-    def __init__(self, chunk_size: int) -> None:
-        self.chunk_size = chunk_size
+    def __init__(self, page_size: int) -> None:
+        self.page_size = page_size
         self.jobs: dict[str, Job] = {}
-        self.held: dict[str, dict[tuple[str, int], TaskAttempt]] = {}
+        self.attempts_by_machine: dict[str, dict[tuple[str, int], TaskAttempt]] = {}
         self.usage: dict[str, Resources] = {}
         self.demand_version = 0  # counts the changes of what jobs still ask for
-        self.dirty: dict[tuple[str, int], None] = {}
-        self.finishing: dict[str, None] = {}
+        self.uncommitted: dict[tuple[str, int], None] = {}
+        self.finalizing: dict[str, None] = {}
         self.cancelled: dict[str, Job] = {}  # those of which tasks may still be somewhere, or that await their end
 
     # -- reading records ------------------------------------------------------------------
 
-    def load(self, record: dict[str, Any], stamp: int, now: float, today: float) -> Job:
+    def load(self, record: dict[str, Any], mod_revision: int, now: float, today: float) -> Job:
         """Take in a job from its record; ``today`` is the time of day, which tells the job's age.
 
         Counting the age from when this leader learned of the job would give every waiting job a new
         start at each takeover.
         """
         spec = decode_spec(record["s"])
-        job = Job(spec, record["at"], self.chunk_size, now - max(0.0, today - record["at"]))
+        job = Job(spec, record["at"], self.page_size, now - max(0.0, today - record["at"]))
         self.jobs[spec.id] = job
         self.demand_version += 1
-        self.load_chunk(job, 0, record, stamp)
+        self.load_page(job, 0, record, mod_revision)
         return job
 
-    def load_chunk(self, job: Job, number: int, record: dict[str, Any], stamp: int) -> None:
+    def load_page(self, job: Job, number: int, record: dict[str, Any], mod_revision: int) -> None:
         """Take in one chunk of a job from its record."""
-        chunk = job.chunk(number * self.chunk_size)
-        chunk.attempt_number = record["a"]
-        chunk.done = int(record["d"], 16)
-        chunk.stamp = stamp
-        job.done_count += chunk.done.bit_count()
+        page = job.page(number * self.page_size)
+        page.attempt_number = record["a"]
+        page.done = int(record["d"], 16)
+        page.mod_revision = mod_revision
+        job.done_count += page.done.bit_count()
         self.demand_version += 1
         for text, (attempt_number, machine, session) in record["l"].items():
             attempt = TaskAttempt(job, int(text), attempt_number, machine, session, placed_this_term=False)
-            chunk.attempts[attempt.index] = attempt
-            self._hold(attempt)
+            page.attempts[attempt.index] = attempt
+            self._track(attempt)
 
     def check_loaded(self, job: Job) -> None:
         """After all chunks are in: a gang that is not whole can't go on."""
         if job.spec.kind is Kind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self.break_gang(job)
-        self._maybe_finish(job)
+        self._finalize_if_over(job)
 
     # -- changes ----------------------------------------------------------------------------
 
-    def _hold(self, attempt: TaskAttempt) -> None:
+    def _track(self, attempt: TaskAttempt) -> None:
         attempt.job.attempt_count += 1
-        self.held.setdefault(attempt.machine, {})[attempt.key] = attempt
+        self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.key] = attempt
         team = attempt.job.spec.team
         self.usage[team] = self.usage.get(team, NOTHING) + attempt.job.spec.need
 
-    def _release(self, attempt: TaskAttempt) -> None:
+    def _untrack(self, attempt: TaskAttempt) -> None:
         attempt.job.attempt_count -= 1
-        held = self.held[attempt.machine]
+        held = self.attempts_by_machine[attempt.machine]
         del held[attempt.key]
         if not held:
-            del self.held[attempt.machine]
+            del self.attempts_by_machine[attempt.machine]
         team = attempt.job.spec.team
         self.usage[team] = self.usage[team] - attempt.job.spec.need
 
-    def _touch(self, job: Job, chunk: Chunk) -> None:
-        chunk.version += 1
-        self.dirty[(job.spec.id, chunk.first // self.chunk_size)] = None
+    def _mark_uncommitted(self, job: Job, page: TaskPage) -> None:
+        page.version += 1
+        self.uncommitted[(job.spec.id, page.first // self.page_size)] = None
 
     def start(self, job: Job, index: int, machine: Machine, attempt_number: int, now: float) -> TaskAttempt:
         """Record an attempt; it may be launched once its record is committed."""
-        chunk = job.chunk(index)
-        chunk.attempt_number = max(chunk.attempt_number, attempt_number)
-        self._touch(job, chunk)
+        page = job.page(index)
+        page.attempt_number = max(page.attempt_number, attempt_number)
+        self._mark_uncommitted(job, page)
         attempt = TaskAttempt(
-            job, index, attempt_number, machine.name, machine.session, page_version=chunk.version, placed_at=now
+            job, index, attempt_number, machine.name, machine.session, page_version=page.version, placed_at=now
         )
-        chunk.attempts[index] = attempt
+        page.attempts[index] = attempt
         job.requeued.discard(index)
-        self._hold(attempt)
+        self._track(attempt)
         machine.used = machine.used + job.spec.need
         machine.idle_since = None
         if job.spec.image not in machine.images:
             machine.fetching.setdefault(job.spec.image, job.spec.image_gb)
         return attempt
 
-    def committed(self, attempt: TaskAttempt) -> bool:
+    def attempt_committed(self, attempt: TaskAttempt) -> bool:
         """Whether the record that names this attempt is committed."""
-        return attempt.job.chunk(attempt.index).committed >= attempt.page_version
+        return attempt.job.page(attempt.index).committed_version >= attempt.page_version
 
-    def settled(self, job_id: str, index: int) -> bool:
+    def task_committed(self, job_id: str, index: int) -> bool:
         """Whether all that is known of this task is committed, so that a worker may forget it."""
         job = self.jobs.get(job_id)
         if job is None:
             return True
-        chunk = job.chunks.get(index // self.chunk_size)
-        return chunk is None or chunk.committed >= chunk.version
+        page = job.pages.get(index // self.page_size)
+        return page is None or page.committed_version >= page.version
 
-    def gone(self, attempt: TaskAttempt, now: float) -> None:
+    def attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
         """There is evidence that the attempt is no longer anywhere; the task waits again."""
         job = attempt.job
-        chunk = job.chunk(attempt.index)
-        if chunk.attempts.get(attempt.index) is not attempt:
+        page = job.page(attempt.index)
+        if page.attempts.get(attempt.index) is not attempt:
             return
-        del chunk.attempts[attempt.index]
-        self._release(attempt)
-        self._touch(job, chunk)
+        del page.attempts[attempt.index]
+        self._untrack(attempt)
+        self._mark_uncommitted(job, page)
         if not job.is_done(attempt.index):
             job.requeued.add(attempt.index)
             job.waiting_since = now
         if job.spec.kind is Kind.GANG and not job.is_done(attempt.index):
             self.break_gang(job)
-        self._maybe_finish(job)
+        self._finalize_if_over(job)
 
     def is_unlaunched(self, attempt: TaskAttempt) -> bool:
         """Whether no answer has carried the attempt's launch yet: it can't be anywhere."""
         return attempt.placed_this_term and attempt.launch_sequence is None and not attempt.reported
 
-    def recount(self, machine: Machine, now: float) -> None:
+    def recompute_usage(self, machine: Machine, now: float) -> None:
         """What is used on a machine, and since when it is idle."""
         used = NOTHING
-        attempts = self.held.get(machine.name, {})
+        attempts = self.attempts_by_machine.get(machine.name, {})
         for attempt in attempts.values():
             used = used + attempt.job.spec.need
         machine.used = used
-        if attempts or machine.strays:
+        if attempts or machine.orphans:
             machine.idle_since = None
         elif machine.idle_since is None:
             machine.idle_since = now
@@ -304,27 +304,27 @@
             if attempt.stop_grace_s is None:
                 attempt.stop_grace_s = 0.0
             if self.is_unlaunched(attempt):
-                self.gone(attempt, job.waiting_since)
+                self.attempt_lost(attempt, job.waiting_since)
 
-    def completed(self, attempt: TaskAttempt) -> None:
+    def attempt_completed(self, attempt: TaskAttempt) -> None:
         """A task has completed; a gang completes as a whole."""
         job = attempt.job
         ended = list(job.attempts()) if job.spec.kind is Kind.GANG else [attempt]
         for one in ended:
-            chunk = job.chunk(one.index)
-            del chunk.attempts[one.index]
-            self._release(one)
+            page = job.page(one.index)
+            del page.attempts[one.index]
+            self._untrack(one)
         indexes = range(job.spec.tasks) if job.spec.kind is Kind.GANG else [attempt.index]
         for index in indexes:
-            chunk = job.chunk(index)
-            bit = 1 << (index - chunk.first)
-            if not chunk.done & bit:
-                chunk.done |= bit
+            page = job.page(index)
+            bit = 1 << (index - page.first)
+            if not page.done & bit:
+                page.done |= bit
                 job.done_count += 1
                 self.demand_version += 1
-                self._touch(job, chunk)
+                self._mark_uncommitted(job, page)
             job.requeued.discard(index)
-        self._maybe_finish(job)
+        self._finalize_if_over(job)
 
     def cancel(self, job: Job, at: float) -> None:
         """The user has been told that the job is cancelled, at ``at`` or later."""
@@ -335,33 +335,35 @@
         for attempt in list(job.attempts()):
             attempt.stop_grace_s = 0.0
             if self.is_unlaunched(attempt):
-                self.gone(attempt, job.waiting_since)
-        self._maybe_finish(job)
+                self.attempt_lost(attempt, job.waiting_since)
+        self._finalize_if_over(job)
 
-    def _maybe_finish(self, job: Job) -> None:
+    def _finalize_if_over(self, job: Job) -> None:
         over = job.cancelled or job.done_count == job.spec.tasks
         if over and job.attempt_count == 0 and job.final is None:
-            self.finishing[job.spec.id] = None
+            self.finalizing[job.spec.id] = None
 
     def remove(self, job: Job) -> None:
         """The job's final state is committed."""
         self.jobs.pop(job.spec.id, None)
         self.demand_version += 1
         self.cancelled.pop(job.spec.id, None)
-        self.finishing.pop(job.spec.id, None)
-        for number in job.chunks:
-            self.dirty.pop((job.spec.id, number), None)
+        self.finalizing.pop(job.spec.id, None)
+        for number in job.pages:
+            self.uncommitted.pop((job.spec.id, number), None)
 
-    def lease_over(self, name: str, now: float) -> int:
+    def lease_expired(self, name: str, now: float) -> int:
         """The machine's worker has lost its lease: its tasks end, at the latest when it wakes from hanging.
 
         Those of cancelled jobs are held on to until a report or a deletion shows them gone: the time for them
         runs while a machine hangs, also for the next leader, which knows of them by these records alone.
         Returns how many attempts went.
         """
-        attempts = [attempt for attempt in self.held.get(name, {}).values() if not attempt.job.cancelled]
+        attempts = [
+            attempt for attempt in self.attempts_by_machine.get(name, {}).values() if not attempt.job.cancelled
+        ]
         for attempt in attempts:
-            self.gone(attempt, now)
+            self.attempt_lost(attempt, now)
         return len(attempts)
 
     def failures_against(self, machine: Machine) -> int:
@@ -369,9 +371,9 @@
         failed = [self.jobs[job_id] for job_id in machine.failed_jobs if job_id in self.jobs]
         return sum(not job.is_suspect for job in failed)
 
-    def machine_gone(self, name: str, now: float) -> int:
+    def machine_lost(self, name: str, now: float) -> int:
         """Nothing is left on the machine; how many attempts went with it."""
-        attempts = list(self.held.get(name, {}).values())
+        attempts = list(self.attempts_by_machine.get(name, {}).values())
         for attempt in attempts:
-            self.gone(attempt, now)
+            self.attempt_lost(attempt, now)
         return len(attempts)
--- a/src/passrock/core/placement.py
+++ b/src/passrock/core/placement.py
@@ -9,7 +9,7 @@
 
 from passrock.core.aims import Aims, fetch_time
 from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Book, Job, TaskAttempt, least_need
+from passrock.core.jobs import Job, JobTable, TaskAttempt, least_need
 from passrock.core.model import NOTHING, Kind, MachineType, Priority, Resources, Team
 
 # Costs are in seconds, so that they weigh against the wait for an image.
@@ -54,8 +54,10 @@
 class Placer:
     """Places waiting tasks; one pass at a time."""
 
-    def __init__(self, book: Book, fleet: Fleet, teams: dict[str, Team], bound: dict[str, str], aims: Aims) -> None:
-        self.book = book
+    def __init__(
+        self, job_table: JobTable, fleet: Fleet, teams: dict[str, Team], bound: dict[str, str], aims: Aims
+    ) -> None:
+        self.job_table = job_table
         self.fleet = fleet
         self.teams = teams
         self.bound = bound
@@ -69,8 +71,8 @@
         self.waiting: list[Job] = []  # what the last pass left, most urgent first
         self.waits: dict[Resources, dict[str, float]] = {}  # room_in of each machine, as far as this pass has asked
         self.hopeless: dict[Any, int] = {}  # kinds of tasks with the least number that found no room
-        self.strays: set[tuple[str, int]] = set()
-        self.stray_use: dict[str, Resources] = {}
+        self.orphans: set[tuple[str, int]] = set()
+        self.orphan_usage: dict[str, Resources] = {}
         self.guaranteed: set[str] = set()
         self.favoured: frozenset[str] = frozenset()  # jobs that go before all others, as fair admission decides
         self.protected: frozenset[str] = frozenset()  # jobs that are not displaced, for the same reason
@@ -84,20 +86,20 @@
     def demand(self, team: str, least: Priority = Priority.LOW) -> Resources:
         """What all unfinished jobs of a team ask for, from some priority up."""
         total = NOTHING
-        for job in self.book.jobs.values():
+        for job in self.job_table.jobs.values():
             if job.spec.team == team and job.spec.priority >= least and not job.cancelled:
                 total = total + job.spec.need.times(job.spec.tasks - job.done_count)
         return total
 
     def find_guaranteed(self) -> None:
         """Which jobs fit into their team's guarantee along with all its earlier unfinished jobs."""
-        if self._guaranteed_as_of == self.book.demand_version:
+        if self._guaranteed_as_of == self.job_table.demand_version:
             return
-        self._guaranteed_as_of = self.book.demand_version
+        self._guaranteed_as_of = self.job_table.demand_version
         self.guaranteed = set()
         self._ranks = {}
         asked: dict[str, Resources] = {}
-        for job in sorted(self.book.jobs.values(), key=lambda job: (job.submitted, job.spec.id)):
+        for job in sorted(self.job_table.jobs.values(), key=lambda job: (job.submitted, job.spec.id)):
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
@@ -123,7 +125,7 @@
         """Jobs with tasks that may be placed now, most urgent first."""
         ready = [
             job
-            for job in self.book.jobs.values()
+            for job in self.job_table.jobs.values()
             if job.waiting > 0
             and not job.cancelled
             and job.not_before <= now
@@ -150,15 +152,15 @@
         self.cut_short = False
         self.find_guaranteed()
         self.holds = {name: hold for name, hold in self.holds.items() if hold.until > now}
-        self.strays = set()
-        self.stray_use = {}
+        self.orphans = set()
+        self.orphan_usage = {}
         self.usable = []
         self.zones = {}
         self.kinds = {}
         started: list[TaskAttempt] = []
         for machine in self.fleet.machines.values():
-            if machine.strays:
-                self._count_strays(machine)
+            if machine.orphans:
+                self._count_orphans(machine)
             if self.fleet.usable(machine, now):
                 self.usable.append(machine)
                 self.zones[machine.zone] = None
@@ -178,13 +180,13 @@
         self.waiting = [job for job in self.waiting if job.waiting > 0]
         return started
 
-    def _count_strays(self, machine: Machine) -> None:
-        for (job_id, index), need in machine.strays.items():
-            self.strays.add((job_id, index))
-            job = self.book.jobs.get(job_id)
+    def _count_orphans(self, machine: Machine) -> None:
+        for (job_id, index), need in machine.orphans.items():
+            self.orphans.add((job_id, index))
+            job = self.job_table.jobs.get(job_id)
             if job is not None:
                 team = job.spec.team
-                self.stray_use[team] = self.stray_use.get(team, NOTHING) + need
+                self.orphan_usage[team] = self.orphan_usage.get(team, NOTHING) + need
 
     def _find_open(self) -> None:
         """The machines with room for the smallest waiting task; on a full fleet that is a handful."""
@@ -196,7 +198,7 @@
         team = self.teams.get(job.spec.team)
         if team is None:
             return False  # its limit isn't known since the team was taken out of the settings; the job stays known
-        used = self.book.usage.get(team.name, NOTHING) + self.stray_use.get(team.name, NOTHING)
+        used = self.job_table.usage.get(team.name, NOTHING) + self.orphan_usage.get(team.name, NOTHING)
         return team.within_limit(used + job.spec.need.times(count))
 
     def cost(self, job: Job, machine: Machine) -> float:
@@ -216,7 +218,7 @@
             # replicas stay for long: spread over empty machines they strand the rest of each, which then
             # serves no gang of whole machines, and is paid for until the last replica ends; but where one
             # is still fetching another image, both would be late
-            cost += harm if self.book.held.get(machine.name) else STRAND_COST * left
+            cost += harm if self.job_table.attempts_by_machine.get(machine.name) else STRAND_COST * left
         return cost
 
     def candidates(self, job: Job, zone: str | None, now: float) -> list[Machine]:
@@ -280,7 +282,7 @@
             return started
         cap = spec.zone_cap()
         for index in job.next_waiting(1 if spec.id in self.favoured else ARRAY_BATCH):
-            if (spec.id, index) in self.strays:
+            if (spec.id, index) in self.orphans:
                 continue
             if not self.allowed_now(job, 1):
                 break
@@ -297,7 +299,7 @@
             self.rooms.take(machine, spec.need)
             if spec.one_zone or spec.spread:
                 counts[machine.zone] = counts.get(machine.zone, 0) + 1
-            started.append(self.book.start(job, index, machine, job.next_attempt_number(index), now))
+            started.append(self.job_table.start(job, index, machine, job.next_attempt_number(index), now))
             self.again(job, machine, heap)
         self.cut_short = self.cut_short or len(started) == ARRAY_BATCH
         job.advance()
@@ -319,7 +321,7 @@
         kind = (spec.need, spec.types, spec.zone, spec.spot, spec.one_zone)
         if spec.tasks >= self.hopeless.get(kind, MANY) and not self.has_hold(job):
             return self.keep_room(job, now)
-        if any(key[0] == spec.id for key in self.strays) or not self.allowed_now(job, spec.tasks):
+        if any(key[0] == spec.id for key in self.orphans) or not self.allowed_now(job, spec.tasks):
             return []
         best: tuple[float, list[Machine]] | None = None
         for zone in self.gang_zones(job):
@@ -347,7 +349,7 @@
         for index, machine in enumerate(best[1]):
             self.rooms.take(machine, spec.need)
             self.holds.pop(machine.name, None)
-            started.append(self.book.start(job, index, machine, attempt_number, now))
+            started.append(self.job_table.start(job, index, machine, attempt_number, now))
         job.advance()
         return started
 
@@ -405,7 +407,7 @@
         if need.fits(room):
             return 0.0
         ends = []
-        for attempt in self.book.held.get(machine.name, {}).values():
+        for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values():
             left = attempt.job.spec.estimate - (now - (attempt.running_since or now))
             if attempt.stop_grace_s is not None:
                 left = self.patience
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -7,7 +7,7 @@
 
 from passrock.core.aims import fetch_time
 from passrock.core.fleet import Machine
-from passrock.core.jobs import Book, Job, TaskAttempt
+from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.messages import TaskState
 from passrock.core.model import NOTHING, Kind, Priority
 from passrock.core.placement import ARRAY_BATCH, Hold, Placer
@@ -20,7 +20,7 @@
 
     def __init__(self, placer: Placer) -> None:
         self.placer = placer
-        self.book = placer.book
+        self.job_table = placer.job_table
         self.fleet = placer.fleet
         self.aims = placer.aims
         self.patience = placer.patience
@@ -61,7 +61,7 @@
     def has_elastic_work(self) -> bool:
         """Whether any team without a guarantee uses machines at the moment."""
         return any(
-            not team.has_guarantee and self.book.usage.get(team.name, NOTHING) != NOTHING
+            not team.has_guarantee and self.job_table.usage.get(team.name, NOTHING) != NOTHING
             for team in self.placer.teams.values()
         )
 
@@ -125,7 +125,7 @@
             attempt.stop_grace_s is not None
             for name, hold in self.placer.holds.items()
             if hold.job == job.spec.id
-            for attempt in self.book.held.get(name, {}).values()
+            for attempt in self.job_table.attempts_by_machine.get(name, {}).values()
         )
 
     def delay_of(self, plan: list[tuple[Machine, list[TaskAttempt]]]) -> float:
@@ -217,7 +217,7 @@
         room = self.placer.rooms.of(machine)
         if need.fits(room):
             return 0.0, []
-        attempts = self.book.held.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
         for attempt in attempts:
             if attempt.stop_grace_s is not None:  # on its way out already
                 room = room + attempt.job.spec.need
@@ -260,8 +260,8 @@
         attempt.stop_grace_s = max(patience, attempt.job.spec.save) if can_save else 0.0
 
 
-def drain(book: Book, machine: str) -> None:
+def drain(job_table: JobTable, machine: str) -> None:
     """Let everything on a machine save and end, gangs as a whole."""
-    for attempt in list(book.held.get(machine, {}).values()):
+    for attempt in list(job_table.attempts_by_machine.get(machine, {}).values()):
         for mate in list(attempt.job.attempts()) if attempt.job.spec.kind is Kind.GANG else [attempt]:
             stop_softly(mate, mate.job.spec.save)
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -22,11 +22,11 @@
     """
 
     key: str
-    version: int
+    mod_revision: int
     mark: list[int]
 
 
-def chunk_tasks(value_bytes: int) -> int:
+def tasks_per_page(value_bytes: int) -> int:
     """How many tasks one record holds, with room left for the job's own description."""
     return max(8, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
 
--- a/src/passrock/core/renting.py
+++ b/src/passrock/core/renting.py
@@ -9,7 +9,7 @@
 
 from passrock.core.aims import Aims
 from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Book, Job, least_need
+from passrock.core.jobs import Job, JobTable, least_need
 from passrock.core.model import NOTHING, Kind, MachineType, Resources, Team
 
 LEAST_CHARGED_S = 60.0  # the cloud charges a deleted machine for at least this long
@@ -108,7 +108,13 @@
 
 
 def plan_rentals(
-    queue: list[Job], book: Book, fleet: Fleet, teams: dict[str, Team], market: Market, aims: Aims, now: float
+    queue: list[Job],
+    job_table: JobTable,
+    fleet: Fleet,
+    teams: dict[str, Team],
+    market: Market,
+    aims: Aims,
+    now: float,
 ) -> dict[Offer, int]:
     """How many machines of which kind to rent so that the queue's tasks find room.
 
@@ -118,7 +124,7 @@
     bins = [
         Bin(Offer(m.type.name, m.zone, m.spot), m.type.size)
         for m in fleet.machines.values()
-        if (not m.up and not m.deleting) or (m.name not in book.held and fleet.absent(m, now))
+        if (not m.up and not m.deleting) or (m.name not in job_table.attempts_by_machine and fleet.absent(m, now))
     ]
     # whatever has no room for the smallest waiting task is left out: on a full fleet that is nearly all of it
     least = least_need(queue)
@@ -127,7 +133,7 @@
         for m in fleet.machines.values()
         if m.has_room(least) and fleet.usable(m, now)
     ]
-    used = dict(book.usage)
+    used = dict(job_table.usage)
     wanted: dict[Offer, int] = {}
     for job in queue:
         count = in_reach(job, teams, used)
@@ -218,7 +224,7 @@
     return added
 
 
-def plan_returns(fleet: Fleet, book: Book, patience: dict[str, float], now: float) -> list[Machine]:
+def plan_returns(fleet: Fleet, job_table: JobTable, patience: dict[str, float], now: float) -> list[Machine]:
     """Idle machines that have waited long enough for work.
 
     A cheap spot machine may wait longer than a dear one, in the ratio of their prices, and no
@@ -228,7 +234,7 @@
     for machine in fleet.machines.values():
         if not machine.up or machine.deleting or machine.idle_since is None:
             continue
-        if machine.name in book.held:
+        if machine.name in job_table.attempts_by_machine:
             continue
         price = machine.type.spot_price if machine.spot else machine.type.price
         wait = patience[machine.type.name] * (machine.type.price / price if price > 0 else 1.0)
--- a/src/passrock/io/clock.py
+++ b/src/passrock/io/clock.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 
-def steady() -> float:
+def monotonic_time() -> float:
     """Seconds on the steady clock."""
     return asyncio.get_running_loop().time()
 
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -7,7 +7,7 @@
 from passrock.core.budget import Budget
 from passrock.core.messages import ListedMachine
 from passrock.core.model import MachineType
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.http_client import HttpClient, NoAnswerError
 from passrock.wire import cloud as wire
 from passrock.wire.cbor import MalformedBodyError
@@ -29,7 +29,7 @@
         self.budget = budget
 
     async def _call(self, method: str, path: str, body: bytes = b"", timeout: float = 8.0) -> bytes:
-        wait = self.budget.take(steady(), 1)
+        wait = self.budget.take(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
@@ -37,7 +37,7 @@
         except NoAnswerError as error:
             raise CloudError(str(error)) from error
         if status == 429:
-            self.budget.refused(steady())
+            self.budget.refused(monotonic_time())
         if status == 503 and b"capacity" in answer:
             raise NoCapacityError("no capacity")
         if status != 200:
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from passrock.core.cancellations import Cancellations, PeerKnowledge
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.logs import debug
 from passrock.settings import Address, Peer
 
@@ -133,7 +133,7 @@
     async def ask(self, heartbeat: Heartbeat, timeout: float) -> None:
         """Send our view; the answer arrives later or never."""
         if self.waiting_since is None:
-            self.waiting_since = steady()
+            self.waiting_since = monotonic_time()
         if self.connection is None or self.connection.transport is None:
             self._sent.clear()
             loop = asyncio.get_running_loop()
@@ -152,7 +152,7 @@
             self.connection.drop("no answers")
             self.connection = None
             return
-        self._sent.append(steady())
+        self._sent.append(monotonic_time())
         self.connection.send(heartbeat)
 
     def _answered(self, connection: PeerConnection, heartbeat: Heartbeat) -> None:
@@ -239,7 +239,7 @@
             asked_at,
         )
         for job_id in fresh:
-            self.cancellations.learn(job_id, steady())
+            self.cancellations.learn(job_id, monotonic_time())
         self._take(heartbeat)
 
     def _take(self, heartbeat: Heartbeat) -> None:
--- a/src/passrock/io/state.py
+++ b/src/passrock/io/state.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from passrock.core.budget import Budget
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from passrock.io.http_client import HttpClient, NoAnswerError
 from passrock.wire import state as wire
 from passrock.wire.cbor import MalformedBodyError
@@ -60,19 +60,19 @@
     async def _call(
         self, method: str, path: str, body: bytes = b"", timeout: float = 1.5, changes: int = 0
     ) -> tuple[int, bytes]:
-        wait = self.requests.take(steady(), 1)
+        wait = self.requests.take(monotonic_time(), 1)
         if changes:
-            wait = max(wait, self.writes.take(steady(), changes))
+            wait = max(wait, self.writes.take(monotonic_time(), changes))
         if wait > 0:
             await asyncio.sleep(wait)
-        started = steady()
+        started = monotonic_time()
         try:
             status, answer = await self.http.request(method, path, body, timeout)
         except NoAnswerError as error:
             self._bad(started)
             raise UnknownOutcomeError(str(error)) from error
         if status == 429:
-            self.requests.refused(steady())
+            self.requests.refused(monotonic_time())
             raise StateError("over the rate")
         if status >= 500:
             self._bad(started)
@@ -137,7 +137,7 @@
 
     async def changes(self, prefix: str, after: int, wait_ms: int) -> tuple[list[Change], int]:
         """Wait for changes."""
-        wait = self.requests.take(steady(), 1)
+        wait = self.requests.take(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
--- a/src/passrock/wire/state.py
+++ b/src/passrock/wire/state.py
@@ -19,7 +19,7 @@
 
     key: str
     value: Any
-    version: int
+    mod_revision: int
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     key: str
     present: bool
     value: Any
-    version: int
+    mod_revision: int
 
 
 class Put(msgspec.Struct, frozen=True):
@@ -121,7 +121,7 @@
         else:
             apply.append({"set": write.key, "v": write.value, "loan": write.lease})
     return cbor.encode(
-        {"if": [{"key": key, "stamp": version} for key, version in conditions.items()], "apply": apply}
+        {"if": [{"key": key, "stamp": mod_revision} for key, mod_revision in conditions.items()], "apply": apply}
     )
 
 
--- a/tests/standins/cloud_service.py
+++ b/tests/standins/cloud_service.py
@@ -7,15 +7,15 @@
 
 
 class CloudService:
-    """Rents machines; ``on_up`` and ``on_gone`` tell the world about them."""
+    """Rents machines; ``on_up`` and ``on_machine_lost`` tell the world about them."""
 
-    def __init__(self, types, capacity, rng, list_lag, on_up, on_gone, addr="10.1.0.1:9000"):
+    def __init__(self, types, capacity, rng, list_lag, on_up, on_machine_lost, addr="10.1.0.1:9000"):
         self.types = types
         self.capacity = dict(capacity)  # (type, zone, spot) -> count
         self.rng = rng
         self.list_lag = list_lag
         self.on_up = on_up
-        self.on_gone = on_gone
+        self.on_machine_lost = on_machine_lost
         self.addr = addr
         self.machines = {}
         self.answers = {}
@@ -50,7 +50,7 @@
         if entry is not None:
             row = entry[0]
             self.capacity[(row["binding"], row["branch"], row["loaners"])] += 1
-            self.on_gone(name)
+            self.on_machine_lost(name)
 
     async def handle(self, method, path, body):
         """Status and answer body."""
--- a/tests/tables.py
+++ b/tests/tables.py
@@ -2,7 +2,7 @@
 
 from passrock.core.aims import Aims, Objective
 from passrock.core.fleet import Fleet
-from passrock.core.jobs import Book, new_record
+from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import Report, TaskReport, TaskState
 from passrock.core.model import NOTHING, Kind, MachineType, Priority, Resources, Spec, Team
 from passrock.core.placement import Placer
@@ -49,12 +49,12 @@
 class Desk:
     """A book, a fleet and a placer, without a controller."""
 
-    def __init__(self, machines=(("m1", "a", False),), chunk=50):
-        self.book = Book(chunk)
+    def __init__(self, machines=(("m1", "a", False),), page=50):
+        self.job_table = JobTable(page)
         self.fleet = Fleet(1.0, 10.0, 0.36, 0.0, TERM)
-        self.placer = Placer(self.book, self.fleet, TEAMS, {}, AIMS)
+        self.placer = Placer(self.job_table, self.fleet, TEAMS, {}, AIMS)
         self.preemption = Preemption(self.placer)
-        self.stamp = 0
+        self.revision = 0
         for name, zone, spot in machines:
             self.up(name, zone, spot)
 
@@ -62,15 +62,15 @@
         return self.fleet.observe(report(name, zone=zone, spot=spot), BOX, now)
 
     def job(self, number=1, at=0.0, **fields):
-        self.stamp += 1
-        return self.book.load(new_record(spec(number, **fields), at), self.stamp, at, at)
+        self.revision += 1
+        return self.job_table.load(new_record(spec(number, **fields), at), self.revision, at, at)
 
     def commit(self):
         """Everything is committed."""
-        for job in self.book.jobs.values():
-            for chunk in job.chunks.values():
-                chunk.committed = chunk.version
-        self.book.dirty.clear()
+        for job in self.job_table.jobs.values():
+            for page in job.pages.values():
+                page.committed_version = page.version
+        self.job_table.uncommitted.clear()
 
     def refresh(self, now):
         """Every machine has just reported, and nothing runs there."""
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 from passrock.controller.users import UnavailableError, Users
 from passrock.core.cancellations import PeerKnowledge
 from passrock.core.placement import Placer
-from passrock.io.clock import steady
+from passrock.io.clock import monotonic_time
 from standins import virtual_loop
 from standins.scenes import (
     hand_over_and_back,
@@ -46,7 +46,7 @@
     query = Users._query
 
     async def _query(self, job_id):
-        if job_id == "wk-000000" and steady() > 30.0:
+        if job_id == "wk-000000" and monotonic_time() > 30.0:
             raise UnavailableError("as a test wants it")
         return await query(self, job_id)
 
--- a/tests/test_checkins.py
+++ b/tests/test_checkins.py
@@ -17,7 +17,7 @@
     job = desk.job(**fields)
     desk.run()
     desk.commit()
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     commands = handle(desk, checkins, seq=2)
     assert [c.op for c in commands] == [Op.START] * job.attempt_count
     return desk, job, checkins
@@ -52,11 +52,11 @@
 def test_absence_needs_a_report_of_this_term():
     """A held-back report of an older term proves nothing: a former leader may have launched after it."""
     desk, job, checkins = placed_desk()
-    desk.book.cancel(job, 0.0)
+    desk.job_table.cancel(job, 0.0)
     handle(desk, checkins, seq=3, token=TERM - 1)
     assert job.attempt_count == 1
     handle(desk, checkins, seq=4, token=TERM)
-    assert job.attempt_count == 0 and "wk-1" in desk.book.finishing
+    assert job.attempt_count == 0 and "wk-1" in desk.job_table.finalizing
 
 
 def test_exits_in_reports_of_older_terms():
@@ -72,7 +72,7 @@
     desk = Desk()
     desk.job()
     desk.run()
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     assert handle(desk, checkins, seq=2) == []
     desk.commit()
     assert handle(desk, checkins, seq=3, launch=False) == []
@@ -95,11 +95,11 @@
     for attempt in job.attempts():
         attempt.reported = True
     first = next(job.attempts())
-    desk.book.gone(first, 5.0)
+    desk.job_table.attempt_lost(first, 5.0)
     assert [attempt.stop_grace_s for attempt in job.attempts()] == [0.0, 0.0]
     assert desk.run(6.0) == []  # not before every task of the old attempt is gone
     for attempt in list(job.attempts()):
-        desk.book.gone(attempt, 7.0)
+        desk.job_table.attempt_lost(attempt, 7.0)
     desk.refresh(7.0)
     assert len(desk.run(7.0)) == 3
     assert {attempt.number for attempt in job.attempts()} == {2}
@@ -110,7 +110,7 @@
     job = desk.job(kind=Kind.GANG, tasks=2, need=Resources(10, 2, 50))
     desk.run()
     desk.commit()
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     handle(desk, checkins, seq=2)
     index = next(attempt.index for attempt in job.attempts() if attempt.machine == "m1")
     alone = [row(index=index, state=EXITED, why="alone")]
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize(("name", "told", "used"), HEARING, ids=[case[0] for case in HEARING])
 def test_only_machines_that_hear_are_used(name, told, used):
     desk = Desk([])
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     desk.job()
     for step, (session, seq, token, listed) in enumerate(told):
         handle(desk, checkins, float(step), session=session, seq=seq, token=token, tasks=[row()] if listed else [])
@@ -162,13 +162,13 @@
     desk = Desk()
     machine = desk.fleet.machines["m1"]
     machine.answered, machine.up = answered, up
-    assert desk.fleet.lease_over(machine, now, fenced) is over
+    assert desk.fleet.lease_expired(machine, now, fenced) is over
 
 
 def test_faulty_machine_or_faulty_job():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
     job = desk.job()
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     for seq in (2, 4):
         desk.refresh(float(seq))
         desk.run(float(seq))
@@ -183,7 +183,7 @@
 
 def fail_on(desk, checkins, job, machine, now):
     """One of the job's tasks is started on a machine and fails there."""
-    attempt = desk.book.start(job, 0, desk.fleet.machines[machine], job.next_attempt_number(0), now)
+    attempt = desk.job_table.start(job, 0, desk.fleet.machines[machine], job.next_attempt_number(0), now)
     attempt.launch_sequence = 0
     state = desk.fleet.machines[machine]
     failed = row(job.spec.id, 0, attempt.number, TaskState.EXITED, "error")
@@ -193,7 +193,7 @@
 def test_a_faulty_job_is_told_from_a_faulty_machine():
     """Machines on which two jobs had failed were replaced, also where both jobs fail wherever they start."""
     desk = Desk([("m1", "a", False), ("m2", "a", False), ("m3", "a", False)])
-    checkins = Checkins(desk.book, desk.fleet, TERM)
+    checkins = Checkins(desk.job_table, desk.fleet, TERM)
     first, second, sound, other = (desk.job(number) for number in (1, 2, 3, 4))
     for now, machine in enumerate(("m1", "m2")):
         fail_on(desk, checkins, first, machine, float(now))
@@ -204,10 +204,10 @@
     for now, machine in enumerate(("m2", "m1"), start=3):
         fail_on(desk, checkins, second, machine, float(now))
     m1 = desk.fleet.machines["m1"]
-    assert len(m1.failed_jobs) == 2 and desk.book.failures_against(m1) == 0
+    assert len(m1.failed_jobs) == 2 and desk.job_table.failures_against(m1) == 0
     fail_on(desk, checkins, sound, "m1", 5.0)
     fail_on(desk, checkins, other, "m1", 6.0)
-    assert desk.book.failures_against(m1) == 2
+    assert desk.job_table.failures_against(m1) == 2
 
 
 def test_stops_save_when_there_is_something_to_save():
@@ -218,5 +218,5 @@
     assert [(c.op, c.grace) for c in handle(desk, checkins, seq=4, tasks=[row()])] == [(Op.STOP, 6.0)]
     saving = [row(state=TaskState.SAVING)]
     assert handle(desk, checkins, seq=5, tasks=saving) == []  # a second stop would end the saving
-    desk.book.cancel(job, 0.0)
+    desk.job_table.cancel(job, 0.0)
     assert [(c.op, c.grace) for c in handle(desk, checkins, seq=6, tasks=saving)] == [(Op.STOP, 0.0)]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -35,7 +35,7 @@
     async def main():
         world, old = await settled(60)
         sim = world.nodes[old]
-        stamp = sim.node.leadership.stamp
+        leader_revision = sim.node.leadership.leader_revision
         world.spawn(world.refuse(old, 30.0))
         most, changed_at = 0, None
         for step in range(600):
@@ -45,7 +45,7 @@
             if changed_at is None and now and now[0] != old:
                 changed_at = step * 0.05
         other = next(s for name, s in world.nodes.items() if name != old)
-        late = await other.node.state.commit({"p/lead": stamp}, [Put("p/j/wk-1", {})])
+        late = await other.node.state.commit({"p/lead": leader_revision}, [Put("p/j/wk-1", {})])
         return world, most, changed_at, late
 
     world, most, changed_at, late = virtual_loop.run(main())
@@ -146,7 +146,7 @@
             spec = world.job(number, format="service", precedence="prod", loanS=0.0)
             world.spawn(world.user(spec, cancel_after=1e9))
         await asyncio.sleep(8.0)
-        placed = node.term.book.held.get("host-999999")
+        placed = node.term.job_table.attempts_by_machine.get("host-999999")
         await asyncio.sleep(30.0)
         again = node.handle(Request("POST", "/checkin", cbor2.dumps(ghost | {"accession": 10**6})))
         return world, answer.status, placed, again.status, "host-999999" in node.term.fleet.machines
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -3,7 +3,7 @@
 import cbor2
 import pytest
 
-from passrock.core.jobs import Book, new_record
+from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import Command, Op, TaskState
 from passrock.core.records import decode_spec, encode_spec
 from passrock.wire import cloud, state, users, workers
@@ -62,8 +62,8 @@
     spec = users.parse_submission(body(unknownField=1, branch=..., bindings=["box"]))
     assert (spec.id, spec.zone, spec.types, spec.deadline) == ("wk-000412", None, ("box",), 900.0)
     assert decode_spec(encode_spec(spec)) == spec
-    job = Book(50).load(new_record(spec, 12.5), 7, 100.0, 20.0)
-    assert (job.spec, job.submitted, job.chunk(0).stamp, job.waiting, job.order) == (spec, 12.5, 7, 1, 92.5)
+    job = JobTable(50).load(new_record(spec, 12.5), 7, 100.0, 20.0)
+    assert (job.spec, job.submitted, job.page(0).mod_revision, job.waiting, job.order) == (spec, 12.5, 7, 1, 92.5)
 
 
 REPORT = {
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from passrock.core.jobs import Book, new_record
+from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import TaskState
 from passrock.core.model import NOTHING, Kind, Priority, Resources
-from passrock.core.records import chunk_tasks
+from passrock.core.records import tasks_per_page
 from tables import BOX, Desk, spec
 
 EXITED = TaskState.EXITED
@@ -39,9 +39,9 @@
 def test_strays_count_against_limits_and_their_task():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
     desk.job()
-    desk.fleet.machines["m2"].strays = {("wk-1", 0): Resources(5, 1, 20)}
+    desk.fleet.machines["m2"].orphans = {("wk-1", 0): Resources(5, 1, 20)}
     assert desk.run() == []
-    desk.fleet.machines["m2"].strays = {}
+    desk.fleet.machines["m2"].orphans = {}
     assert desk.run() == [("wk-1", 0, "m1")]
 
 
@@ -128,11 +128,11 @@
         now = 10.0 * turn
         desk.refresh(now)
         for name, machine in desk.fleet.machines.items():
-            machine.used = BOX.size if desk.book.held.get(name) else NOTHING
-        desk.book.completed(next(small.pop(0).attempts()))
+            machine.used = BOX.size if desk.job_table.attempts_by_machine.get(name) else NOTHING
+        desk.job_table.attempt_completed(next(small.pop(0).attempts()))
         small.append(desk.job(turn, team="t1", need=Resources(10, 2, 50), job_class="soon", at=now))
         for name, machine in desk.fleet.machines.items():
-            machine.used = BOX.size if desk.book.held.get(name) else NOTHING
+            machine.used = BOX.size if desk.job_table.attempts_by_machine.get(name) else NOTHING
         if {job for job, _, _ in desk.run(now)} == {"wk-9"}:
             break
         small = [job for job in small if job.attempt_count]
@@ -140,17 +140,17 @@
 
 
 def test_huge_array_stays_inside_record_sizes():
-    size = chunk_tasks(4096)
-    book = Book(size)
-    job = book.load(new_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
+    size = tasks_per_page(4096)
+    job_table = JobTable(size)
+    job = job_table.load(new_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
     desk = Desk()
     machine = desk.fleet.machines["m1"]
     for index in job.next_waiting(3 * size):
-        book.start(job, index, machine, job.next_attempt_number(index), 0.0)
+        job_table.start(job, index, machine, job.next_attempt_number(index), 0.0)
     job.advance()
     assert job.next_waiting(1) == [3 * size]
-    assert max(len(str(chunk.encode())) for chunk in job.chunks.values()) < 4096 - 1000
-    assert len(job.chunks) == 3 + 1 or len(job.chunks) == 3
+    assert max(len(str(page.encode())) for page in job.pages.values()) < 4096 - 1000
+    assert len(job.pages) == 3 + 1 or len(job.pages) == 3
     for attempt in list(job.attempts()):
-        book.completed(attempt)
+        job_table.attempt_completed(attempt)
     assert (job.done_count, job.attempt_count, job.waiting) == (3 * size, 0, 100_000 - 3 * size)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -30,12 +30,12 @@
     )
     desk.run(1.0)
     if waiting.attempt_count:
-        desk.book.gone(next(waiting.attempts()), 1.0)
+        desk.job_table.attempt_lost(next(waiting.attempts()), 1.0)
     desk.fleet.machines["m1"].used = BOX.size
     desk.placer.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
         assert not desk.preemption.make_room(waiting, 1.0)  # a start that does not count yet is not taken back
-        for attempt in desk.book.held["m1"].values():
+        for attempt in desk.job_table.attempts_by_machine["m1"].values():
             attempt.running_since = -60.0
     assert bool(desk.preemption.make_room(waiting, 1.0)) is displaced
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -13,7 +13,7 @@
     b'{"s":{"id":"wk-000412","c":"x","t":"t1","k":"array","p":1,"n":3,"r":[5.0,1.0,20.0],"i":"img-0","ig":2.0,'
     b'"ty":["box"],"z":"a","f":[false,false,false],"e":[10.0,0.0,0.0],"dl":900.0},"at":12.5,"a":0,"d":"0","l":{}}'
 )
-CHUNK = b'{"a":5,"d":"2","l":{"2":[5,"m1",1]}}'
+TASK_PAGE = b'{"a":5,"d":"2","l":{"2":[5,"m1",1]}}'
 HINTS = b'[{"i":[["img",2.0]],"m":{"m1":[0]}}]'
 
 
@@ -24,18 +24,18 @@
 
     desk = Desk()
     machine = desk.fleet.machines["m1"]
-    job = desk.book.load(msgspec.json.decode(JOB), 7, 100.0, 20.0)
-    desk.book.start(job, 1, machine, 4, 0.0)
-    desk.book.completed(next(job.attempts()))
-    desk.book.start(job, 2, machine, 5, 0.0)
-    assert msgspec.json.encode(job.chunk(0).encode()) == CHUNK
+    job = desk.job_table.load(msgspec.json.decode(JOB), 7, 100.0, 20.0)
+    desk.job_table.start(job, 1, machine, 4, 0.0)
+    desk.job_table.attempt_completed(next(job.attempts()))
+    desk.job_table.start(job, 2, machine, 5, 0.0)
+    assert msgspec.json.encode(job.page(0).encode()) == TASK_PAGE
     machine.images["img"] = 2.0
     assert msgspec.json.encode(desk.fleet.encode_hints(4)) == HINTS
 
 
 def test_records_of_older_sources_are_read():
     desk = Desk()
-    job = desk.book.load({**msgspec.json.decode(JOB), **msgspec.json.decode(CHUNK)}, 7, 100.0, 20.0)
+    job = desk.job_table.load({**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}, 7, 100.0, 20.0)
     attempt = next(job.attempts())
     assert (job.spec.id, job.spec.deadline, job.submitted, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
     assert (attempt.index, attempt.number, attempt.machine, attempt.session, attempt.placed_this_term) == (
--- a/tests/test_renting_and_admission.py
+++ b/tests/test_renting_and_admission.py
@@ -30,11 +30,11 @@
         desk.job(number, **fields)
     queue = desk.placer.queue(0.0)
     market = Market({"box": BOX})
-    assert plan_rentals(queue, desk.book, desk.fleet, TEAMS, market, AIMS, 0.0) == wanted
+    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == wanted
     for offer in wanted:  # machines on their way are enough
         for i in range(wanted[offer]):
             desk.fleet.add(f"new{i}", BOX, offer.zone, offer.spot, 0.0)
-    assert plan_rentals(queue, desk.book, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
+    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     desk.job(tasks=tasks, estimate=estimate, need=Resources(0.25, 0, 1.0), spot=True, team="free")
     teams = {"free": Team("free", 0, 0, 0, 0)}
     market = Market({"box": BOX})
-    wanted = plan_rentals(list(desk.book.jobs.values()), desk.book, desk.fleet, teams, market, AIMS, 0.0)
+    wanted = plan_rentals(list(desk.job_table.jobs.values()), desk.job_table, desk.fleet, teams, market, AIMS, 0.0)
     assert sum(wanted.values()) == machines
 
 
@@ -62,12 +62,14 @@
     for zone in BOX.zones:
         market.refuse(Offer("box", zone, True), 50.0)
     queue = desk.placer.queue(0.0)
-    assert plan_rentals(queue, desk.book, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
-    late = plan_rentals(queue, desk.book, desk.fleet, TEAMS, market, AIMS, 285.0)
+    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
+    late = plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 285.0)
     assert late == {Offer("box", "a", True): 1}  # no longer refused by then
     for zone in BOX.zones:
         market.refuse(Offer("box", zone, True), 500.0)
-    assert plan_rentals(queue, desk.book, desk.fleet, TEAMS, market, AIMS, 285.0) == {Offer("box", "a", False): 1}
+    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 285.0) == {
+        Offer("box", "a", False): 1
+    }
 
 
 def test_returns():
@@ -77,9 +79,9 @@
     for machine in desk.fleet.machines.values():
         machine.since = -100.0
     patience = {"box": 10.0}
-    going = [m.name for m in plan_returns(desk.fleet, desk.book, patience, 12.0)]
+    going = [m.name for m in plan_returns(desk.fleet, desk.job_table, patience, 12.0)]
     assert len(going) == 1 and going[0] in ("m1", "m3")  # the busy one and the cheap one stay
-    assert len(plan_returns(desk.fleet, desk.book, patience, 40.0)) == 2
+    assert len(plan_returns(desk.fleet, desk.job_table, patience, 40.0)) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -95,7 +95,7 @@
         for number in range(1, 13):
             took.append(await submit(world, leader, number))
             await asyncio.sleep(0.5)
-        backlog = len(world.nodes[leader].node.term.book.jobs)
+        backlog = len(world.nodes[leader].node.term.job_table.jobs)
         await asyncio.sleep(60.0)
         return took, backlog, world
 
