--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -22,10 +22,10 @@
 from passrock.admission.wire.demand_message import MalformedDemandError, decode_demand, encode_demand
 from passrock.controller import keys
 from passrock.controller.intake import Refusal
+from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
-from passrock.controller.term import Term
-from passrock.core.model import Spec
+from passrock.core.model import JobSpec
 from passrock.core.records import PERMIT_MARK, Permit
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import Peers
@@ -111,11 +111,11 @@
 
     # -- the gate ---------------------------------------------------------------------------------------
 
-    def decide(self, spec: Spec) -> Permit | Refusal | None:
+    def decide(self, spec: JobSpec) -> Permit | Refusal | None:
         """Whether a submission is taken in; None where nobody decides slots."""
         return self.intake.decide(spec) if self._in_force() else None
 
-    def concluded(self, spec: Spec, unused: bool) -> None:
+    def concluded(self, spec: JobSpec, unused: bool) -> None:
         """A request that had been permitted is over."""
         self.intake.concluded(spec, unused)
 
@@ -162,7 +162,7 @@
 
     # -- leading ---------------------------------------------------------------------------------------------
 
-    def lead(self, term: Term) -> None:
+    def lead(self, term: LeaderTerm) -> None:
         """This node leads from now on."""
         admission = self.admission
         watch = StartWatch(admission.window_s * admission.favour_ratio)
@@ -195,7 +195,7 @@
         if self.log is not None:
             self.log.flush()
 
-    async def _decide(self, term: Term, allocator: SlotAllocator) -> None:
+    async def _decide(self, term: LeaderTerm, allocator: SlotAllocator) -> None:
         while not term.ready:
             await asyncio.sleep(self.settings.report_s / 10)
         await allocator.run()
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -8,8 +8,8 @@
 from passrock.admission.core.flows import Flow
 from passrock.admission.core.starvation import FlowWait, Obstacle, StartWatch, WaitingJob
 from passrock.core.jobs import Job, TaskAttempt
-from passrock.core.model import Kind
-from passrock.core.placement import Placer
+from passrock.core.model import JobKind
+from passrock.core.scheduler import Scheduler
 from passrock.io.clock import time_of_day
 from passrock.logs import error, info
 
@@ -36,32 +36,32 @@
         self._protected: dict[str, float] = {}
         self._starved: set[Flow] = set()
 
-    def evaluated(self, placer: Placer, started: Iterable[TaskAttempt], now: float) -> None:
+    def evaluated(self, scheduler: Scheduler, started: Iterable[TaskAttempt], now: float) -> None:
         """One pass of placement is over; the next one follows what is set here."""
         today = time_of_day()
-        self._take_in(placer, started, today)
+        self._take_in(scheduler, started, today)
         if now - self._looked_at < self.every_s:
             return
         self._looked_at = now
         self._note_starts(today)
-        self.waits = self.watch.look(self._waiting(placer, now))
-        favoured = self.watch.favoured(self.waits, today, max(1, len(placer.usable) // MOST_FAVOURED_PART))
+        self.waits = self.watch.look(self._waiting(scheduler, now))
+        favoured = self.watch.favoured(self.waits, today, max(1, len(scheduler.usable) // MOST_FAVOURED_PART))
         under_way = {flow_of(attempt.job) for attempt in self._placed}
         favoured = [wait for wait in favoured if wait.flow not in under_way]
-        self._tell_new(favoured, placer.favoured, today)
-        placer.favoured = frozenset(wait.oldest for wait in favoured)
+        self._tell_new(favoured, scheduler.favoured, today)
+        scheduler.favoured = frozenset(wait.oldest for wait in favoured)
         self._protected = {job_id: until for job_id, until in self._protected.items() if until > today}
-        placer.protected = frozenset(self._protected)
+        scheduler.protected = frozenset(self._protected)
         self._tell_starved(today)
 
-    def _take_in(self, placer: Placer, placed: Iterable[TaskAttempt], today: float) -> None:
+    def _take_in(self, scheduler: Scheduler, placed: Iterable[TaskAttempt], today: float) -> None:
         """What was placed for a favoured job is safe from displacement at once, before it has started."""
         for attempt in placed:
             self._placed.append(attempt)
             job_id = attempt.job.spec.id
-            if job_id in placer.favoured and job_id not in self._protected:
+            if job_id in scheduler.favoured and job_id not in self._protected:
                 self._protected[job_id] = today + self.protect_s
-                placer.protected |= {job_id}
+                scheduler.protected |= {job_id}
                 info("favoured_placed", job=job_id, team=attempt.job.spec.team, of=attempt.job.spec.job_class)
 
     def _note_starts(self, today: float) -> None:
@@ -82,20 +82,20 @@
         starts, self.starts = self.starts, {}
         return starts
 
-    def _waiting(self, placer: Placer, now: float) -> Iterable[WaitingJob]:
-        for job in placer.job_table.jobs.values():
+    def _waiting(self, scheduler: Scheduler, now: float) -> Iterable[WaitingJob]:
+        for job in scheduler.job_table.jobs.values():
             if job.waiting > 0 and not job.cancelled and job.final is None:
-                yield WaitingJob(job.spec.id, flow_of(job), job.submitted, self._obstacle(placer, job, now))
+                yield WaitingJob(job.spec.id, flow_of(job), job.submitted, self._obstacle(scheduler, job, now))
 
-    def _obstacle(self, placer: Placer, job: Job, now: float) -> Obstacle:
+    def _obstacle(self, scheduler: Scheduler, job: Job, now: float) -> Obstacle:
         spec = job.spec
         if job.not_before > now or job.is_suspect:
             return Obstacle.FAILING
-        if not placer.allowed_now(job, spec.tasks if spec.kind is Kind.GANG else 1):
+        if not scheduler.allowed_now(job, spec.tasks if spec.kind is JobKind.GANG else 1):
             return Obstacle.TEAM_LIMIT
         if not any(
-            spec.allows(machine.type.name, machine.zone, machine.spot) and spec.need.fits(machine.type.size)
-            for machine in placer.usable
+            spec.allows(machine.type.name, machine.zone, machine.spot) and spec.resources.fits(machine.type.size)
+            for machine in scheduler.usable
         ):
             return Obstacle.NO_MACHINE
         return Obstacle.OTHERS
--- a/src/passrock/admission/controller/intake.py
+++ b/src/passrock/admission/controller/intake.py
@@ -16,7 +16,7 @@
 from passrock.controller import keys
 from passrock.controller.intake import Refusal
 from passrock.core.limiter import RETRY_LEAST_S, RETRY_MOST_S
-from passrock.core.model import Spec
+from passrock.core.model import JobSpec
 from passrock.core.records import Permit
 from passrock.io.clock import time_of_day
 
@@ -50,7 +50,7 @@
     def _opened(self, allocation: Allocation) -> None:
         self.grants.open(allocation)
 
-    def decide(self, spec: Spec) -> Permit | Refusal:
+    def decide(self, spec: JobSpec) -> Permit | Refusal:
         """Admit a submission of a job that isn't known, or say when to come back."""
         known = self._under_way.get(spec.id)
         if known is not None:  # a retry that meets the first attempt: one acceptance, one unit
@@ -68,7 +68,7 @@
         self._under_way[spec.id] = Admitted(permit, spent, 1)
         return permit
 
-    def concluded(self, spec: Spec, unused: bool) -> None:
+    def concluded(self, spec: JobSpec, unused: bool) -> None:
         """A request that had been permitted is over; ``unused`` when it is certain that it accepted nothing."""
         admitted = self._under_way.get(spec.id)
         if admitted is None:
--- a/src/passrock/admission/core/flows.py
+++ b/src/passrock/admission/core/flows.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from passrock.core.aims import Objective
 from passrock.core.model import Team
+from passrock.core.objectives import Objective
 
 ELASTIC_PART = 0.25  # of the least guarantee: the weight of a team without any
 DEFAULT_WEIGHT = 1.0
--- a/src/passrock/controller/fleet_sizing.py
+++ b/src/passrock/controller/autoscaler.py
@@ -4,53 +4,53 @@
 
 import math
 
-from passrock.controller.rentals import Rentals
-from passrock.core.fleet import Fleet
+from passrock.controller.provisioner import Provisioner
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable
-from passrock.core.model import Kind, Priority
-from passrock.core.placement import Placer
+from passrock.core.model import JobKind, Priority
 from passrock.core.preemption import Preemption
-from passrock.core.renting import Market, plan_rentals, plan_returns
 from passrock.core.reservation import zone_gap
+from passrock.core.scaling import MachineCatalog, plan_scale_in, plan_scale_out
+from passrock.core.scheduler import Scheduler
 from passrock.logs import info
 from passrock.settings import Settings
 
 
-class FleetSizing:
+class Autoscaler:
     """Plans rentals and returns from what the last placement pass left waiting."""
 
     def __init__(
         self,
         settings: Settings,
         job_table: JobTable,
-        fleet: Fleet,
-        market: Market,
-        placer: Placer,
+        inventory: MachineInventory,
+        catalog: MachineCatalog,
+        scheduler: Scheduler,
         preemption: Preemption,
-        rentals: Rentals,
+        provisioner: Provisioner,
     ) -> None:
         self.settings = settings
         self.job_table = job_table
-        self.fleet = fleet
-        self.market = market
-        self.placer = placer
+        self.inventory = inventory
+        self.catalog = catalog
+        self.scheduler = scheduler
         self.preemption = preemption
-        self.rentals = rentals
+        self.provisioner = provisioner
 
     def adjust(self, queue: list[Job], now: float) -> None:
         """Rent for the waiting jobs and for the buffer; give back what nobody needs."""
-        lacking = [job for job in queue if job.spec.kind is not Kind.GANG or not self.preemption.stopping_for(job)]
-        wanted = plan_rentals(
-            lacking, self.job_table, self.fleet, self.settings.teams, self.market, self.placer.aims, now
+        lacking = [job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.stopping_for(job)]
+        wanted = plan_scale_out(
+            lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
         )
         production, room = self._zone_rooms()
         gap = zone_gap(production, room, self.settings.zones)
         if gap > 0:
-            offer = self.market.buffer_offer(room, now)
+            offer = self.catalog.buffer_offer(room, now)
             if offer is not None and offer not in wanted:
-                wanted[offer] = math.ceil(gap / self.market.types[offer.type].size.gpus)
+                wanted[offer] = math.ceil(gap / self.catalog.types[offer.type].size.gpus)
         for offer, count in wanted.items():
-            self.rentals.rent(offer, count)
+            self.provisioner.rent(offer, count)
         if not queue and not self._broken_gangs():
             self._give_back(production, room, now)
 
@@ -59,15 +59,15 @@
         operator = self.settings.operator
         patience = {
             name: max(operator.idle_floor_s, operator.idle_boot_ratio * kind.boot_s)
-            for name, kind in self.market.types.items()
+            for name, kind in self.catalog.types.items()
         }
-        for machine in plan_returns(self.fleet, self.job_table, patience, now):
+        for machine in plan_scale_in(self.inventory, self.job_table, patience, now):
             room[machine.zone] -= machine.type.size.gpus
             if not machine.spot and zone_gap(production, room, self.settings.zones) > 0:
                 room[machine.zone] += machine.type.size.gpus  # part of the buffer for a lost zone
                 continue
             info("machine_return", machine=machine.name)
-            self.rentals.delete(machine)
+            self.provisioner.delete(machine)
 
     def _broken_gangs(self) -> bool:
         """Whether a gang waits for the last of its old attempt to be gone: it needs the room of its mates again.
@@ -75,7 +75,7 @@
         Gangs with tasks on machines that were cut off were in no queue, and the machines of the others went back.
         """
         return any(
-            job.spec.kind is Kind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
+            job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
             for job in self.job_table.jobs.values()
         )
 
@@ -83,11 +83,11 @@
         """GPUs of production work in each zone, and those it could take there: idle ones or lent ones."""
         production = dict.fromkeys(self.settings.zones, 0.0)
         room = dict.fromkeys(self.settings.zones, 0.0)
-        for machine in self.fleet.machines.values():
+        for machine in self.inventory.machines.values():
             if machine.deleting or machine.spot or machine.zone not in room:
                 continue
             mine = sum(
-                attempt.job.spec.need.gpus
+                attempt.job.spec.resources.gpus
                 for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values()
                 if attempt.job.spec.priority is Priority.PRODUCTION
             )
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -8,12 +8,12 @@
 
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
-from passrock.core.fleet import Fleet
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.messages import TaskState
-from passrock.core.placement import Placer
-from passrock.core.renting import Market
 from passrock.core.reservation import Binding, Claim, Unit, bind, pages
+from passrock.core.scaling import MachineCatalog
+from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import info
@@ -35,18 +35,18 @@
         state: StateClient,
         leadership: Leadership,
         job_table: JobTable,
-        fleet: Fleet,
-        market: Market,
-        placer: Placer,
+        inventory: MachineInventory,
+        catalog: MachineCatalog,
+        scheduler: Scheduler,
     ) -> None:
         self.settings = settings
         self.state = state
         self.leadership = leadership
         self.job_table = job_table
-        self.fleet = fleet
-        self.market = market
-        self.placer = placer
-        self.bound = placer.bound  # machine -> team, as the last round left it
+        self.inventory = inventory
+        self.catalog = catalog
+        self.scheduler = scheduler
+        self.assignments = scheduler.assignments  # machine -> team, as the last round left it
         self._due = 0.0
         self._last = -math.inf
         self._recorded: dict[str, Any] = {}
@@ -55,7 +55,7 @@
     def load(self, reservation: Entry) -> None:
         """Take in one record of an earlier leader."""
         self._recorded[reservation.key] = reservation.value
-        self.bound.update(dict.fromkeys(reservation.value["m"], keys.reservation_team(reservation.key)))
+        self.assignments.update(dict.fromkeys(reservation.value["m"], keys.reservation_team(reservation.key)))
 
     def stop(self) -> None:
         """Write nothing more."""
@@ -77,8 +77,8 @@
         self._due = now + self.settings.operator.round_s
         self._last = now
         result = self._bind()
-        self.bound.clear()
-        self.bound.update(result.owner)
+        self.assignments.clear()
+        self.assignments.update(result.owner)
         records: dict[str, list[str]] = {team: [] for team in self.settings.teams}
         for name, team in sorted(result.owner.items()):
             records[team].append(name)
@@ -90,7 +90,7 @@
             if key.startswith(keys.MORE) and key not in writes:
                 writes[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
         if not early:
-            hints = self.fleet.encode_hints(max(1, self.settings.value_bytes // HINT_BYTES))
+            hints = self.inventory.encode_hints(max(1, self.settings.value_bytes // HINT_BYTES))
             writes.update({f"{keys.HINT}{i}": record for i, record in enumerate(hints)})
         changed = {key: value for key, value in writes.items() if value != self._recorded.get(key)}
         info("round", short=len(result.short), changed=len(changed), **self._census())
@@ -101,25 +101,29 @@
     def _census(self) -> dict[str, object]:
         """Where the machines' GPUs are, for the log."""
         sums = dict.fromkeys(("booting", "idle", "placed", "running", "stranded"), 0.0)
-        for machine in self.fleet.machines.values():
+        for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
-            placed = sum(attempt.job.spec.need.gpus for attempt in attempts)
+            placed = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.up:
                 sums["booting"] += machine.type.size.gpus
             elif not attempts:
                 sums["idle"] += machine.type.size.gpus
             else:
                 sums["stranded"] += machine.type.size.gpus - placed
-            running = sum(attempt.job.spec.need.gpus for attempt in attempts if attempt.state is TaskState.RUNNING)
+            running = sum(
+                attempt.job.spec.resources.gpus for attempt in attempts if attempt.state is TaskState.RUNNING
+            )
             sums["running"] += running
             sums["placed"] += placed - running
-        waiting = sum(job.spec.need.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled)
-        return {"machines": len(self.fleet.machines), "waiting": waiting, **sums}
+        waiting = sum(
+            job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
+        )
+        return {"machines": len(self.inventory.machines), "waiting": waiting, **sums}
 
     def _bind(self) -> Binding:
-        whole = max((kind.size.gpus for kind in self.market.types.values()), default=1.0) or 1.0
+        whole = max((kind.size.gpus for kind in self.catalog.types.values()), default=1.0) or 1.0
         units = []
-        for machine in self.fleet.machines.values():
+        for machine in self.inventory.machines.values():
             if machine.deleting or machine.notice_until is not None:
                 continue
             attempts = self.job_table.attempts_by_machine.get(machine.name, {})
@@ -127,12 +131,12 @@
             units.append(Unit(machine.name, machine.zone, machine.type.size.gpus / whole, not attempts, teams))
         claims = []
         for team in self.settings.teams.values():
-            asked = self.placer.demand(team.name).gpus
+            asked = self.scheduler.demand(team.name).gpus
             if team.gpus_max > 0:
                 asked = min(asked, team.gpus_max)
             desired = asked / whole
             claims.append(Claim(team.name, desired, team.gpus / whole, desired * self.settings.operator.buffer_share))
-        return bind(units, claims, self.bound, self.settings.zones, self.settings.operator.alpha_extra)
+        return bind(units, claims, self.assignments, self.settings.zones, self.settings.operator.alpha_extra)
 
     async def _record(self, changed: dict[str, Any]) -> None:
         """Write the reservations and hints that changed, with what jobs leave of the write rate.
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -5,8 +5,8 @@
 from collections import deque
 
 from passrock.controller.leadership import Leadership
-from passrock.controller.rentals import Rentals
-from passrock.core.fleet import WORKER_WAIT_S, Fleet, Machine
+from passrock.controller.provisioner import Provisioner
+from passrock.core.inventory import WORKER_WAIT_S, Machine, MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.model import Priority
 from passrock.core.preemption import drain
@@ -27,26 +27,26 @@
         self,
         settings: Settings,
         job_table: JobTable,
-        fleet: Fleet,
+        inventory: MachineInventory,
         leadership: Leadership,
-        rentals: Rentals,
+        provisioner: Provisioner,
     ) -> None:
         self.settings = settings
         self.job_table = job_table
-        self.fleet = fleet
+        self.inventory = inventory
         self.leadership = leadership
-        self.rentals = rentals
+        self.provisioner = provisioner
         self.given_up: deque[float] = deque()  # when machines were given up for silent, over the last lease
 
     def evaluate(self, now: float) -> None:
         """Take note of silence, deafness and ends of leases; have machines deleted that won't serve again."""
-        fleet = self.fleet
+        inventory = self.inventory
         self.clear_cancelled(now)
-        fleet.wait_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
+        inventory.wait_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
         # a machine that holds tasks of an earlier term counts too, though it may never report in this one
         up = [
             m
-            for m in fleet.machines.values()
+            for m in inventory.machines.values()
             if not m.deleting and (m.up or m.name in self.job_table.attempts_by_machine)
         ]
         if self._silence(up, now):
@@ -56,23 +56,23 @@
             self._end_lease(machine, now)
             self._release(machine)
         self._delete_late(now)
-        if now - fleet.began > 2 * fleet.silent_s:
+        if now - inventory.began > 2 * inventory.silent_s:
             self._resolve_unlisted()
 
     def _delete_deaf(self, up: list[Machine], now: float) -> None:
         """Machines that no answer reaches go, unless they are so many that the cause lies elsewhere."""
-        deaf = [machine for machine in up if self.fleet.deaf(machine, now)]
+        deaf = [machine for machine in up if self.inventory.deaf(machine, now)]
         if len(deaf) * 2 > len(up) + 2:
             return
         for machine in deaf:
             info("machine_deaf", machine=machine.name, unheeded=machine.unheeded)
-            self.rentals.delete(machine)
+            self.provisioner.delete(machine)
 
     def _end_lease(self, machine: Machine, now: float) -> None:
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.fleet.lease_expired(machine, now, self.leadership.fenced_at):
+        if not self.inventory.lease_expired(machine, now, self.leadership.fenced_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
@@ -85,29 +85,29 @@
             and machine.name not in self.job_table.attempts_by_machine
             and not machine.orphans
         ):
-            self.rentals.delete(machine)
+            self.provisioner.delete(machine)
         failures = self.job_table.failures_against(machine) if machine.failed_jobs else 0
         if failures <= 1:
             return
         info("machine_faulty", machine=machine.name, jobs=failures)
         drain(self.job_table, machine.name)
         if machine.name not in self.job_table.attempts_by_machine:
-            self.rentals.delete(machine)
+            self.provisioner.delete(machine)
 
     def _delete_late(self, now: float) -> None:
         """Machines that should have come up long ago are charged for nothing."""
-        for machine in list(self.fleet.machines.values()):
-            if self.fleet.late(machine, now):
+        for machine in list(self.inventory.machines.values()):
+            if self.inventory.late(machine, now):
                 info("machine_late", machine=machine.name, age=round(now - machine.since))
-                self.rentals.delete(machine)
+                self.provisioner.delete(machine)
 
     def _resolve_unlisted(self) -> None:
         """Machines of records that neither the cloud's list nor a report shows: make sure that they are gone."""
         for name in list(self.job_table.attempts_by_machine):
-            if name not in self.fleet.machines and name not in self.fleet.deleted:
-                self.rentals.delete_unknown(name)
-            elif name in self.fleet.deleted:
-                self.rentals.on_machine_lost(name)
+            if name not in self.inventory.machines and name not in self.inventory.deleted:
+                self.provisioner.delete_unknown(name)
+            elif name in self.inventory.deleted:
+                self.provisioner.on_machine_lost(name)
 
     def clear_cancelled(self, now: float) -> None:
         """Have machines deleted that may hold tasks of cancelled jobs and don't report, before the time is up.
@@ -120,8 +120,8 @@
             if job.cancelled_at > due:
                 continue
             for attempt in list(job.attempts()):
-                machine = self.fleet.machines.get(attempt.machine)
-                if machine is None or machine.deleting or not self.fleet.silent(machine, now):
+                machine = self.inventory.machines.get(attempt.machine)
+                if machine is None or machine.deleting or not self.inventory.silent(machine, now):
                     continue
                 info(
                     "cancelled_task_silent",
@@ -129,16 +129,16 @@
                     job=job.spec.id,
                     after_s=round(now - job.cancelled_at, 1),
                 )
-                self.rentals.delete(machine)
+                self.provisioner.delete(machine)
 
     def _silence(self, up: list[Machine], now: float) -> bool:
         """Give up what has been silent for too long; True when the fault lies here and the leader made way."""
-        fleet = self.fleet
-        silent = [m for m in up if fleet.silent(m, now)]
+        inventory = self.inventory
+        silent = [m for m in up if inventory.silent(m, now)]
         while self.given_up and now - self.given_up[0] > self.settings.lease_s:
             self.given_up.popleft()
         # machines report at different moments: those that are late already, and those just given up, count as well
-        missing = sum(fleet.overdue(m, now) for m in up) + len(self.given_up)
+        missing = sum(inventory.overdue(m, now) for m in up) + len(self.given_up)
         limit = max(CROWD_LEAST, (len(up) + len(self.given_up)) / CROWD)
         crowd = missing > limit
         if len(silent) > limit and self.leadership.workers_elsewhere() * ABDICATE_PART > len(up):
@@ -147,16 +147,16 @@
             return True
         if len(silent) * 2 <= len(up) + 2:
             for machine in silent:
-                quiet = now - fleet.quiet_since(machine)
+                quiet = now - inventory.quiet_since(machine)
                 machine.crowd = machine.crowd or crowd
-                if machine.crowd and now - max(machine.heard, fleet.began) < self._crowd_patience(machine):
+                if machine.crowd and now - max(machine.heard, inventory.began) < self._crowd_patience(machine):
                     continue  # one cause for many may pass, or lie here
-                if missing > limit / 2 and quiet < fleet.silent_s + self.settings.report_s:
+                if missing > limit / 2 and quiet < inventory.silent_s + self.settings.report_s:
                     continue  # may be the first ones of a crowd
                 if machine.name in self.job_table.attempts_by_machine or now - machine.heard > self.settings.lease_s:
                     info("machine_silent", machine=machine.name, for_s=round(now - machine.heard, 1))
                     self.given_up.append(now)
-                    self.rentals.delete(machine)
+                    self.provisioner.delete(machine)
         return False
 
     def _crowd_patience(self, machine: Machine) -> float:
@@ -169,4 +169,4 @@
         attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
             return self.settings.lease_s * CROWD_PATIENCE
-        return self.fleet.return_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
+        return self.inventory.return_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
--- a/src/passrock/controller/checkin_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,18 +8,18 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
-from passrock.core.checkin import Checkins
-from passrock.core.fleet import Fleet, Machine
+from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import JobTable
-from passrock.core.messages import Command, Report
+from passrock.core.messages import Command, WorkerHeartbeat
 from passrock.core.preemption import drain
-from passrock.core.renting import Market
+from passrock.core.reconciler import Reconciler
+from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
 from passrock.settings import Settings
 
 
-class CheckinHandler:
+class HeartbeatHandler:
     """Answers check-ins once the leader's records are loaded."""
 
     def __init__(
@@ -27,8 +27,8 @@
         settings: Settings,
         leadership: Leadership,
         job_table: JobTable,
-        fleet: Fleet,
-        market: Market,
+        inventory: MachineInventory,
+        catalog: MachineCatalog,
         commit_queue: CommitQueue,
         rounds: BindingRounds,
         evaluations: Evaluations,
@@ -36,14 +36,14 @@
         self.settings = settings
         self.leadership = leadership
         self.job_table = job_table
-        self.fleet = fleet
-        self.market = market
+        self.inventory = inventory
+        self.catalog = catalog
         self.commit_queue = commit_queue
         self.rounds = rounds
         self.evaluations = evaluations
-        self.checkins = Checkins(job_table, fleet, leadership.term)
+        self.reconciler = Reconciler(job_table, inventory, leadership.term)
 
-    def handle(self, report: Report) -> list[Command] | Awaitable[list[Command] | None] | None:
+    def handle(self, heartbeat: WorkerHeartbeat) -> list[Command] | Awaitable[list[Command] | None] | None:
         """Commands for a worker, whose lease is renewed by the answer; None when it must get no answer.
 
         An unchanged report takes a short path: placing is the work of evaluations. When the report makes room,
@@ -51,16 +51,16 @@
         what is placed there goes into it.
         """
         now = monotonic_time()
-        kind = self.market.types.get(report.type)
+        kind = self.catalog.types.get(heartbeat.type)
         if kind is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
-        known = self.fleet.machines.get(report.machine)
+        known = self.inventory.machines.get(heartbeat.machine)
         was_usable = known is not None and known.up and known.confirmed
-        machine = self.fleet.observe(report, kind, now)
+        machine = self.inventory.observe(heartbeat, kind, now)
         if machine is None:
             return None  # a late copy, or of a machine that is gone: an answer could only renew by mistake
-        commands = self.checkins.handle(machine, report, now, launch=self.leadership.may_launch())
-        if self.checkins.changed:
+        commands = self.reconciler.handle(machine, heartbeat, now, launch=self.leadership.may_launch())
+        if self.reconciler.changed:
             self._log_changes(machine, now)
             self.evaluations.request()
         if self.job_table.uncommitted or self.job_table.finalizing:
@@ -75,25 +75,25 @@
             info("machine_up", machine=machine.name, zone=machine.zone, spot=machine.spot)
             self.evaluations.request()
         attempts = self.job_table.attempts_by_machine.get(machine.name)
-        if self.checkins.changed or (
+        if self.reconciler.changed or (
             attempts is not None
             and any(attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values())
         ):
-            return self._with_launches(machine, report, commands, self.evaluations.count)
+            return self._with_launches(machine, heartbeat, commands, self.evaluations.count)
         return commands
 
     def _log_changes(self, machine: Machine, now: float) -> None:
-        for attempt in self.checkins.begun:
+        for attempt in self.reconciler.begun:
             after = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
             info("task_runs", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
-        for attempt, why in self.checkins.exits:
+        for attempt, why in self.reconciler.exits:
             job = attempt.job.spec.id
             info(
                 "task_end", job=job, task=attempt.index, attempt_number=attempt.number, machine=machine.name, why=why
             )
 
     async def _with_launches(
-        self, machine: Machine, report: Report, commands: list[Command], before: int
+        self, machine: Machine, heartbeat: WorkerHeartbeat, commands: list[Command], before: int
     ) -> list[Command] | None:
         end = monotonic_time() + self.settings.report_s / 4
         while monotonic_time() < end:
@@ -102,9 +102,9 @@
                 break
             if not await self.evaluations.progress(end - monotonic_time()):
                 break
-        if machine.deleting or self.fleet.machines.get(machine.name) is not machine:
+        if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
         if self.leadership.may_launch():
-            commands += self.checkins.launches(machine, report)
+            commands += self.reconciler.launches(machine, heartbeat)
         machine.answered = monotonic_time()
         return commands
--- a/src/passrock/controller/intake.py
+++ b/src/passrock/controller/intake.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passrock.core.model import Spec
+from passrock.core.model import JobSpec
 from passrock.core.records import Permit
 
 
@@ -19,8 +19,8 @@
 class IntakeGate(Protocol):
     """Decides whether submissions of jobs that are not known yet are taken in."""
 
-    def decide(self, spec: Spec) -> Permit | Refusal | None:
+    def decide(self, spec: JobSpec) -> Permit | Refusal | None:
         """A permit for its transaction, a refusal, or None when it needs no permit."""
 
-    def concluded(self, spec: Spec, unused: bool) -> None:
+    def concluded(self, spec: JobSpec, unused: bool) -> None:
         """A request with a permit is over; ``unused`` when it is certain that nothing was accepted by it."""
--- a/src/passrock/controller/term.py
+++ b/src/passrock/controller/leader_term.py
@@ -6,25 +6,25 @@
 from collections.abc import Awaitable, Callable
 
 from passrock.controller import keys
+from passrock.controller.autoscaler import Autoscaler
 from passrock.controller.binding_rounds import BindingRounds
-from passrock.controller.checkin_handler import CheckinHandler
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.failure_detector import FailureDetector
-from passrock.controller.fleet_sizing import FleetSizing
+from passrock.controller.heartbeat_handler import HeartbeatHandler
 from passrock.controller.leadership import Leadership
-from passrock.controller.loading import confirmed_at, load_records
-from passrock.controller.rentals import Rentals
+from passrock.controller.provisioner import Provisioner
+from passrock.controller.record_loader import confirmed_at, load_records
 from passrock.controller.replica import Replica
-from passrock.core.aims import Aims
 from passrock.core.cancellations import Cancellations
-from passrock.core.fleet import Fleet
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.model import Priority
-from passrock.core.placement import Placer
+from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption, stop_softly
 from passrock.core.records import tasks_per_page
-from passrock.core.renting import Market
+from passrock.core.scaling import MachineCatalog
+from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.cloud import CloudClient
 from passrock.io.state import StateClient
@@ -36,7 +36,7 @@
 PLAN_EVERY = 0.4  # of the report interval, between plans of renting and preemption
 
 
-class Term:
+class LeaderTerm:
     """Everything that ends with the leadership."""
 
     def __init__(
@@ -47,23 +47,25 @@
         replica: Replica,
         cancellations: Cancellations,
         leadership: Leadership,
-        market: Market,
+        catalog: MachineCatalog,
     ) -> None:
         self.settings = settings
         self.replica = replica
         self.cancellations = cancellations
         self.leadership = leadership
-        self.market = market
+        self.catalog = catalog
         began = monotonic_time()
         operator = settings.operator
         self.job_table = JobTable(tasks_per_page(settings.value_bytes))
-        self.fleet = Fleet(settings.report_s, settings.lease_s, operator.silent_ratio, began, leadership.term)
+        self.inventory = MachineInventory(
+            settings.report_s, settings.lease_s, operator.silent_ratio, began, leadership.term
+        )
         self.evaluations = Evaluations()
-        self.bound: dict[str, str] = {}
+        self.assignments: dict[str, str] = {}
         keep_after = operator.begin_within_s * operator.keep_room_ratio
-        aims = Aims(settings.objectives, keep_after)
-        self.placer = Placer(self.job_table, self.fleet, settings.teams, self.bound, aims)
-        self.preemption = Preemption(self.placer)
+        objectives = ServiceLevelObjectives(settings.objectives, keep_after)
+        self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
+        self.preemption = Preemption(self.scheduler)
         self.commit_queue = CommitQueue(
             state,
             self.job_table,
@@ -73,27 +75,31 @@
             on_commit=self.evaluations.progressed,
             on_lost=lambda: leadership.step_down("leader key lost"),
         )
-        self.rentals = Rentals(settings, state, cloud, market, self.fleet, leadership)
-        self.rentals.on_machine_lost = self.machine_lost
-        self.rentals.on_change = self.evaluations.request
-        self.failure_detector = FailureDetector(settings, self.job_table, self.fleet, leadership, self.rentals)
-        self.sizing = FleetSizing(
-            settings, self.job_table, self.fleet, market, self.placer, self.preemption, self.rentals
+        self.provisioner = Provisioner(settings, state, cloud, catalog, self.inventory, leadership)
+        self.provisioner.on_machine_lost = self.machine_lost
+        self.provisioner.on_change = self.evaluations.request
+        self.failure_detector = FailureDetector(
+            settings, self.job_table, self.inventory, leadership, self.provisioner
+        )
+        self.autoscaler = Autoscaler(
+            settings, self.job_table, self.inventory, catalog, self.scheduler, self.preemption, self.provisioner
         )
         self.ready = False
-        self.rounds = BindingRounds(settings, state, leadership, self.job_table, self.fleet, market, self.placer)
-        self.checkins = CheckinHandler(
+        self.rounds = BindingRounds(
+            settings, state, leadership, self.job_table, self.inventory, catalog, self.scheduler
+        )
+        self.heartbeat_handler = HeartbeatHandler(
             settings,
             leadership,
             self.job_table,
-            self.fleet,
-            market,
+            self.inventory,
+            catalog,
             self.commit_queue,
             self.rounds,
             self.evaluations,
         )
         self.tasks: list[asyncio.Task[None]] = []
-        self.on_evaluated: Callable[[Placer, list[TaskAttempt], float], None] | None = None
+        self.on_evaluated: Callable[[Scheduler, list[TaskAttempt], float], None] | None = None
         self._last_evaluation = began
         self._plan_due = 0.0
 
@@ -124,14 +130,14 @@
     async def _run(self) -> None:
         while not await self.replica.reach(self.leadership.leader_revision, 1.0):
             pass
-        while not self.market.types:
+        while not self.catalog.types:
             await asyncio.sleep(0.1)
         self._load()
         self.tasks += [
             asyncio.ensure_future(self._guard(work))
-            for work in (self.commit_queue.run(), self.rentals.list_machines(), self.rentals.deletions())
+            for work in (self.commit_queue.run(), self.provisioner.list_machines(), self.provisioner.deletions())
         ]
-        self.rentals.resume(self.replica.with_prefix(keys.INTENT))
+        self.provisioner.resume(self.replica.with_prefix(keys.INTENT))
         while True:
             await self.evaluations.requested(self.settings.report_s / 4)
             began = monotonic_time()
@@ -140,7 +146,7 @@
             await asyncio.sleep(max(self.settings.report_s / 20, (monotonic_time() - began) * EVALUATION_REST))
 
     def _load(self) -> None:
-        load_records(self.replica, self.cancellations, self.job_table, self.fleet, self.rounds, self.commit_queue)
+        load_records(self.replica, self.cancellations, self.job_table, self.inventory, self.rounds, self.commit_queue)
         self.replica.listeners.append(self._listen)
         self.ready = True
         info(
@@ -191,7 +197,7 @@
     def machine_lost(self, name: str) -> None:
         """The cloud has confirmed that a machine is gone."""
         lost = self.job_table.machine_lost(name, monotonic_time())
-        self.bound.pop(name, None)
+        self.assignments.pop(name, None)
         self.rounds.bring_forward()
         info("machine_gone", machine=name, tasks=lost)
         self.commit_queue.wake.set()
@@ -203,7 +209,7 @@
         """Evidence and placement; at longer intervals preemption, renting, and a round when one is due."""
         now = monotonic_time()
         if now - self._last_evaluation > self.settings.report_s:
-            self.fleet.began = now  # this process stood still: silence in that time proves nothing
+            self.inventory.began = now  # this process stood still: silence in that time proves nothing
         self._last_evaluation = now
         if not self.leadership.holds_lease():
             if self.leadership.may_renew():
@@ -214,7 +220,7 @@
         if planning:
             self._plan_due = now + self.settings.report_s * PLAN_EVERY
             self.failure_detector.evaluate(now)
-        started = self.placer.run(now)
+        started = self.scheduler.run(now)
         for attempt in started:
             info(
                 "place",
@@ -224,12 +230,12 @@
                 machine=attempt.machine,
             )
         if self.on_evaluated is not None:
-            self.on_evaluated(self.placer, started, now)
-        if self.placer.cut_short:
+            self.on_evaluated(self.scheduler, started, now)
+        if self.scheduler.cut_short:
             self.evaluations.request()
         if planning:
-            self._preempt(self.placer.waiting, now)
-            self.sizing.adjust(self.placer.waiting, now)
+            self._preempt(self.scheduler.waiting, now)
+            self.autoscaler.adjust(self.scheduler.waiting, now)
         self.rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
@@ -246,6 +252,6 @@
                 if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
                     self.job_table.attempt_lost(attempt, now)
                     self.evaluations.request()
-                machine = self.fleet.machines.get(attempt.machine)
+                machine = self.inventory.machines.get(attempt.machine)
                 if machine is not None:
                     self.job_table.recompute_usage(machine, now)
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -10,10 +10,10 @@
 from passrock.controller import keys
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations, renewal_horizon, whole_until
-from passrock.core.fleet import DRIFT, silence_limit
+from passrock.core.inventory import DRIFT, silence_limit
 from passrock.core.lost_workers import LostWorkers
 from passrock.io.clock import monotonic_time
-from passrock.io.peers import Heartbeat, Peers
+from passrock.io.peers import PeerHeartbeat, Peers
 from passrock.io.state import Committed, LeaseEndedError, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import info
 from passrock.settings import Settings
@@ -160,9 +160,9 @@
             return None  # the copy lags: that leader has been replaced
         return node
 
-    def view(self) -> Heartbeat:
+    def view(self) -> PeerHeartbeat:
         """What the peers are told."""
-        return Heartbeat(
+        return PeerHeartbeat(
             node=self.settings.node,
             term=self.known_term,
             leading=self.leading,
@@ -223,7 +223,7 @@
         except StateError as problem:
             info("key_kept", problem=problem)  # it runs out by itself
 
-    def heard(self, heartbeat: Heartbeat) -> None:
+    def heard(self, heartbeat: PeerHeartbeat) -> None:
         """A peer told its view."""
         self.observe_term(heartbeat.term)
 
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -11,14 +11,14 @@
 
 from passrock import __version__
 from passrock.controller import keys
+from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
-from passrock.controller.term import Term
-from passrock.controller.users import Users
+from passrock.controller.user_api import UserApi
 from passrock.core.budget import Budget, rate_share
 from passrock.core.cancellations import Cancellations
-from passrock.core.messages import Command, Op, Report, TaskState
-from passrock.core.renting import Market
+from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
+from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
 from passrock.io.http_client import HttpClient
@@ -55,7 +55,7 @@
         self.settings = settings
         self.state = state
         self.cloud = cloud
-        self.market = Market()
+        self.catalog = MachineCatalog()
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
         self.replica = Replica(state, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
         self.cancellations = Cancellations(settings.cancel_s * KEEP_CANCELLED)
@@ -65,8 +65,8 @@
         self.leadership.changed.append(self._role_changed)
         self.peers = Peers(links, self.leadership.view, self.leadership.heard, self.cancellations)
         self.leadership.peers = self.peers
-        self.users = Users(settings, state, self.replica, self.cancellations, self.market)
-        self.term: Term | None = None
+        self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog)
+        self.leader_term: LeaderTerm | None = None
         self.admission = self._switch_on_admission(rng)
         self._share_rates(False)
 
@@ -81,7 +81,7 @@
         )
         self.replica.prefixes += (keys.ALLOCATION,)
         self.peers.extensions.append(control)
-        self.users.gate = control
+        self.user_api.gate = control
         return control
 
     def _share_rates(self, leading: bool) -> None:
@@ -95,25 +95,25 @@
             budget.burst = rate * share
 
     def _role_changed(self) -> None:
-        if self.term is not None:
-            self.term.stop()
-            self.term = None
+        if self.leader_term is not None:
+            self.leader_term.stop()
+            self.leader_term = None
             if self.admission is not None:
                 self.admission.lead_no_longer()
         self._share_rates(self.leadership.leading)
         if self.leadership.leading:
-            self.term = Term(
+            self.leader_term = LeaderTerm(
                 self.settings,
                 self.state,
                 self.cloud,
                 self.replica,
                 self.cancellations,
                 self.leadership,
-                self.market,
+                self.catalog,
             )
-            self.term.start()
+            self.leader_term.start()
             if self.admission is not None:
-                self.admission.lead(self.term)
+                self.admission.lead(self.leader_term)
 
     def _listen(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.CANCEL) and entry is not None:
@@ -125,8 +125,8 @@
         The leader's books take it from here. Its copy may never show one that it committed itself, when the
         service refuses it from that moment on.
         """
-        if self.term is not None:
-            self.term.cancelled(job_id, monotonic_time())
+        if self.leader_term is not None:
+            self.leader_term.cancelled(job_id, monotonic_time())
 
     # -- requests -----------------------------------------------------------------------------------
 
@@ -140,7 +140,7 @@
                 return Response(405, allow="GET")
             return Response(200 if self.healthy() else 503)
         if path == user_wire.RUNS_PATH or path.startswith((user_wire.RUNS_PATH + "/", user_wire.RUNS_PATH + "?")):
-            return self.users.handle(request)
+            return self.user_api.handle(request)
         return Response(404, user_wire.error_answer("no such path"))
 
     def healthy(self) -> bool:
@@ -150,7 +150,7 @@
         majority of controllers says the same: then it is this node that is cut off. In an outage that all
         see, no node is better than another, and those marked unhealthy would be slow to come back.
         """
-        if not self.replica.loaded or not self.market.types:
+        if not self.replica.loaded or not self.catalog.types:
             return False
         now = monotonic_time()
         if not self.state.down(now, 1.5):
@@ -162,28 +162,28 @@
 
     def _checkin(self, request: Request) -> Response | Awaitable[Response]:
         try:
-            report = worker_wire.parse_report(request.body)
+            heartbeat = worker_wire.parse_heartbeat(request.body)
         except MalformedBodyError as problem:
             return Response(400, user_wire.error_answer(str(problem)))
-        self.leadership.observe_term(report.token)
+        self.leadership.observe_term(heartbeat.token)
         if not self.leadership.may_renew():
-            if self.leadership.may_renew_leaderless(report.token):
-                return Response(200, worker_wire.answer(report.token, self._stops(report)))
-            return Response(421, worker_wire.redirect(self.leadership.redirect(report.machine, report.token)))
-        if self.term is None or not self.term.ready:
-            return Response(200, worker_wire.answer(self.leadership.term, self._stops(report)))
-        commands = self.term.checkins.handle(report)
+            if self.leadership.may_renew_leaderless(heartbeat.token):
+                return Response(200, worker_wire.answer(heartbeat.token, self._stops(heartbeat)))
+            return Response(421, worker_wire.redirect(self.leadership.redirect(heartbeat.machine, heartbeat.token)))
+        if self.leader_term is None or not self.leader_term.ready:
+            return Response(200, worker_wire.answer(self.leadership.term, self._stops(heartbeat)))
+        commands = self.leader_term.heartbeat_handler.handle(heartbeat)
         if commands is None:
             return Response(503)
         if isinstance(commands, list):
             return Response(200, worker_wire.answer(self.leadership.term, commands))
         return self._checked_in(commands, self.leadership.term)
 
-    def _stops(self, report: Report) -> list[Command]:
+    def _stops(self, heartbeat: WorkerHeartbeat) -> list[Command]:
         """What a node without books can and must say: tasks of cancelled jobs end."""
         return [
             Command(Op.STOP, row.job, row.index, row.attempt_number)
-            for row in report.tasks
+            for row in heartbeat.tasks
             if row.job in self.cancellations and row.state is not TaskState.EXITED
         ]
 
@@ -238,16 +238,16 @@
 
     def _check_sockets(self) -> None:
         """Say once in the log when the sockets are too few for the machines that the guarantees need."""
-        largest = max((kind.size.gpus for kind in self.market.types.values()), default=0.0)
+        largest = max((kind.size.gpus for kind in self.catalog.types.values()), default=0.0)
         guaranteed = sum(team.gpus for team in self.settings.teams.values())
         if largest > 0 and guaranteed / largest > self.sockets:
             error("sockets_too_few", sockets=self.sockets, machines_guaranteed=math.ceil(guaranteed / largest))
 
     async def _learn_types(self) -> None:
         """Machine types are needed before anything can be decided."""
-        while not self.market.types:
+        while not self.catalog.types:
             try:
-                self.market.types = await self.cloud.machine_types()
+                self.catalog.types = await self.cloud.machine_types()
             except CloudError as problem:
                 debug("types_unknown", problem=problem)
                 await asyncio.sleep(1.0)
--- a/src/passrock/controller/rentals.py
+++ b/src/passrock/controller/provisioner.py
@@ -8,9 +8,9 @@
 
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
-from passrock.core.fleet import Fleet, Machine
+from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.messages import ListedMachine
-from passrock.core.renting import MOST_PER_RENTAL, Market, Offer
+from passrock.core.scaling import MOST_PER_RENTAL, MachineCatalog, Offer
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError, NoCapacityError
 from passrock.io.state import Committed, StateClient, StateError
@@ -22,7 +22,7 @@
 RETRY_S = 1.0
 
 
-class Rentals:
+class Provisioner:
     """The leader's dealings with the cloud."""
 
     def __init__(
@@ -30,15 +30,15 @@
         settings: Settings,
         state: StateClient,
         cloud: CloudClient,
-        market: Market,
-        fleet: Fleet,
+        catalog: MachineCatalog,
+        inventory: MachineInventory,
         leadership: Leadership,
     ) -> None:
         self.settings = settings
         self.state = state
         self.cloud = cloud
-        self.market = market
-        self.fleet = fleet
+        self.catalog = catalog
+        self.inventory = inventory
         self.leadership = leadership
         self.on_machine_lost: Callable[[str], None] = lambda name: None
         self.on_change: Callable[[], None] = lambda: None
@@ -104,15 +104,15 @@
             info("rented", request=name, zone=offer.zone, spot=offer.spot, asked=count, got=len(machines))
             if len(machines) < count:
                 self._refuse(offer)
-            kind = self.market.types[offer.type]
+            kind = self.catalog.types[offer.type]
             for machine in machines:
-                if machine not in self.fleet.deleted:
-                    self.fleet.add(machine, kind, offer.zone, offer.spot, monotonic_time())
+                if machine not in self.inventory.deleted:
+                    self.inventory.add(machine, kind, offer.zone, offer.spot, monotonic_time())
             self._spawn(self._settle(name, set(machines)))
             return
 
     def _refuse(self, offer: Offer) -> None:
-        self.market.refuse(offer, monotonic_time() + self.market.types[offer.type].boot_s / 2)
+        self.catalog.refuse(offer, monotonic_time() + self.catalog.types[offer.type].boot_s / 2)
 
     async def _settle(self, name: str, machines: set[str]) -> None:
         """Drop the intent once its machines would be found without it."""
@@ -152,7 +152,7 @@
                 for name in names:
                     self.leaving.pop(name, None)
                     self._listed_up.pop(name, None)
-                    self.fleet.forget(name, monotonic_time())
+                    self.inventory.forget(name, monotonic_time())
                     self.on_machine_lost(name)
 
     # -- the list -----------------------------------------------------------------------------------
@@ -162,7 +162,7 @@
         while True:
             try:
                 self._listed(await self.cloud.machines())
-                self.market.types = await self.cloud.machine_types()
+                self.catalog.types = await self.cloud.machine_types()
             except CloudError as problem:
                 debug("list_failed", problem=problem)
             await asyncio.sleep(max(self.settings.list_lag_s, 2.0))
@@ -170,11 +170,11 @@
     def _listed(self, rows: list[ListedMachine]) -> None:
         now = monotonic_time()
         for row in rows:
-            kind = self.market.types.get(row.type)
-            if row.name in self.fleet.deleted or kind is None:
+            kind = self.catalog.types.get(row.type)
+            if row.name in self.inventory.deleted or kind is None:
                 continue
-            known = row.name in self.fleet.machines
-            machine = self.fleet.add(row.name, kind, row.zone, row.spot, now, row.age)
+            known = row.name in self.inventory.machines
+            machine = self.inventory.add(row.name, kind, row.zone, row.spot, now, row.age)
             if not known:
                 info("machine_found", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
                 self.on_change()
--- a/src/passrock/controller/loading.py
+++ b/src/passrock/controller/record_loader.py
@@ -7,7 +7,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
-from passrock.core.fleet import Fleet
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.wire.state import Entry
@@ -17,7 +17,7 @@
     replica: Replica,
     cancellations: Cancellations,
     job_table: JobTable,
-    fleet: Fleet,
+    inventory: MachineInventory,
     rounds: BindingRounds,
     commit_queue: CommitQueue,
 ) -> None:
@@ -46,7 +46,7 @@
         for entry in replica.with_prefix(prefix):
             rounds.load(entry)
     for entry in replica.with_prefix(keys.HINT):
-        fleet.load_hints(entry.value)
+        inventory.load_hints(entry.value)
 
 
 def confirmed_at(mark: Entry) -> float:
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -8,7 +8,7 @@
 
 from passrock.controller import keys
 from passrock.core.jobs import new_record
-from passrock.core.model import Spec
+from passrock.core.model import JobSpec
 from passrock.core.records import Permit
 from passrock.io.clock import time_of_day
 from passrock.io.state import Committed, Refused, StateClient, StateError
@@ -22,7 +22,7 @@
 class Pending(msgspec.Struct):
     """A submission that awaits its transaction, with everybody who waits for the answer."""
 
-    spec: Spec
+    spec: JobSpec
     permit: Permit | None
     futures: list[asyncio.Future[bool]]
 
@@ -54,7 +54,7 @@
         self.queue: list[Pending] = []
         self.busy = False
 
-    async def submit(self, spec: Spec, permit: Permit | None = None) -> bool:
+    async def submit(self, spec: JobSpec, permit: Permit | None = None) -> bool:
         """True when accepted now, False when known already; raises StateError otherwise."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.queue.append(Pending(spec, permit, [future]))
--- a/src/passrock/controller/users.py
+++ b/src/passrock/controller/user_api.py
@@ -14,9 +14,9 @@
 from passrock.controller.submissions import PermitLapsedError, Submitter
 from passrock.core.cancellations import Cancellations
 from passrock.core.limiter import Limiter
-from passrock.core.model import Spec
+from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
-from passrock.core.renting import Market
+from passrock.core.scaling import MachineCatalog
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.http_server import Request, Response
@@ -56,7 +56,7 @@
     """The answer can't be given now."""
 
 
-class Users:
+class UserApi:
     """The user interface of one node."""
 
     def __init__(
@@ -65,16 +65,18 @@
         state: StateClient,
         replica: Replica,
         cancellations: Cancellations,
-        market: Market,
+        catalog: MachineCatalog,
     ) -> None:
         self.settings = settings
         self.state = state
         self.replica = replica
         self.cancellations = cancellations  # a job stands there before its user is told
-        self.market = market
+        self.catalog = catalog
         slack = settings.report_s / 10
-        self.questions = _limiter(settings, slack + READ_WAIT_S)  # the wait for a shared read is no sign of a queue
-        self.changes = _limiter(
+        self.read_limiter = _limiter(
+            settings, slack + READ_WAIT_S
+        )  # the wait for a shared read is no sign of a queue
+        self.write_limiter = _limiter(
             settings, slack
         )  # submissions and cancellations, which no number of questions may hold up
         self.fence = ReadFence(state, replica, 1.0 / settings.state_rps)
@@ -94,12 +96,16 @@
             if request.method != "POST":
                 return Response(405, allow="POST")
             job_id = rest[: -len(wire.WITHDRAW_END)]
-            return self._limited(self.changes, self._withdraw(job_id)) if wire.is_job_id(job_id) else self._unknown()
+            return (
+                self._limited(self.write_limiter, self._withdraw(job_id))
+                if wire.is_job_id(job_id)
+                else self._unknown()
+            )
         if not rest or "/" in rest:
             return Response(404, wire.error_answer("no such path"))
         if request.method != "GET":
             return Response(405, allow="GET")
-        return self._limited(self.questions, self._query(rest)) if wire.is_job_id(rest) else self._unknown()
+        return self._limited(self.read_limiter, self._query(rest)) if wire.is_job_id(rest) else self._unknown()
 
     @staticmethod
     def _unknown() -> Response:
@@ -185,24 +191,24 @@
             return Response(400, wire.error_answer(str(problem)))
         if not fits_record(spec):
             return Response(400, wire.error_answer("the names in it are too long"))
-        types = self.market.types
+        types = self.catalog.types
         if not types or not self.replica.loaded:
-            return _refuse(self.changes, 503)
+            return _refuse(self.write_limiter, 503)
         problem_text = fault(spec, self.settings.teams, types)
         if problem_text is not None and not self._known_job(spec.id):
             return Response(422, wire.error_answer(problem_text))
         if self.state.writes.wait(monotonic_time()) > 1.0:
-            return _refuse(self.changes, 429)
+            return _refuse(self.write_limiter, 429)
         if self.gate is None or self._known_job(spec.id):
-            return self._limited(self.changes, self._submit(spec, None))
-        if self.changes.is_full():
-            return _refuse(self.changes, 429)  # before a permit is spent
+            return self._limited(self.write_limiter, self._submit(spec, None))
+        if self.write_limiter.is_full():
+            return _refuse(self.write_limiter, 429)  # before a permit is spent
         decision = self.gate.decide(spec)
         if isinstance(decision, Refusal):
             return self._not_permitted(spec, decision)
-        return self._limited(self.changes, self._submit(spec, decision))
+        return self._limited(self.write_limiter, self._submit(spec, decision))
 
-    def _not_permitted(self, spec: Spec, refusal: Refusal) -> Response | Awaitable[Response]:
+    def _not_permitted(self, spec: JobSpec, refusal: Refusal) -> Response | Awaitable[Response]:
         """Refuse a submission; but a retry of a job accepted elsewhere a moment ago gets its answer.
 
         Whether it is one takes reads of the state, of which a flood of submissions must not use up the rate.
@@ -210,9 +216,9 @@
         refused = Response(
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
-        if self.state.requests.spare(monotonic_time()) < SPARE_FOR_RETRIES or not self.questions.enter():
+        if self.state.requests.spare(monotonic_time()) < SPARE_FOR_RETRIES or not self.read_limiter.enter():
             return refused
-        return self._measured(self.questions, self._known_or(spec.id, refused))
+        return self._measured(self.read_limiter, self._known_or(spec.id, refused))
 
     async def _known_or(self, job_id: str, refused: Response) -> Response:
         try:
@@ -225,7 +231,7 @@
         """Whether the job was accepted once: then its state is the answer, though the types on offer have changed."""
         return job_id in self.replica.finals or self.replica.get(keys.job(job_id)) is not None
 
-    async def _submit(self, spec: Spec, permit: Permit | None) -> Response:
+    async def _submit(self, spec: JobSpec, permit: Permit | None) -> Response:
         unused = False
         try:
             async with asyncio.timeout(SUBMIT_PATIENCE_S):
@@ -237,18 +243,18 @@
                     pass  # it may have been accepted: read before answering
                 except PermitLapsedError:
                     unused = True
-                    return _refuse(self.changes, 429)
+                    return _refuse(self.write_limiter, 429)
                 except StateError:
                     unused = True
                     raise
                 known = await self._look_up(spec.id)
         except TimeoutError:
-            return _refuse(self.changes, 503)
+            return _refuse(self.write_limiter, 503)
         finally:
             if permit is not None and self.gate is not None:
                 self.gate.concluded(spec, unused)
         if known is None:
-            return _refuse(self.changes, 503)
+            return _refuse(self.write_limiter, 503)
         return Response(200, wire.brief_answer(spec.id, known.status))
 
     async def _query(self, job_id: str) -> Response:
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from threading import Lock
 
-from passrock.core.fleet import DRIFT
+from passrock.core.inventory import DRIFT
 
 NEVER = -math.inf
 
--- a/src/passrock/core/fleet.py
+++ b/src/passrock/core/inventory.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from passrock.core.messages import Report
-from passrock.core.model import EPSILON, NOTHING, MachineType, Resources, Spec
+from passrock.core.messages import WorkerHeartbeat
+from passrock.core.model import EPSILON, NOTHING, JobSpec, MachineType, Resources
 
 # Two controllers' clocks may differ by 0.05 % each way; leases are waited out with this factor.
 DRIFT = 1.002
@@ -35,8 +35,8 @@
     spot: bool
     since: float
     up: bool = False
-    session: int = 0
-    seq: int = -1
+    incarnation: int = 0
+    sequence: int = -1
     heard: float = 0.0
     answered: float = 0.0
     up_since: float = 0.0
@@ -63,14 +63,14 @@
             free = free - amount
         return free
 
-    def has_room(self, need: Resources) -> bool:
-        """Whether ``need`` fits; asked of every machine in every pass, and so without making amounts."""
+    def has_room(self, resources: Resources) -> bool:
+        """Whether ``resources`` fits; asked of every machine in every pass, and so without making amounts."""
         size, used = self.type.size, self.used
         return (
-            need.gpus <= size.gpus - used.gpus + EPSILON
-            and need.cpus <= size.cpus - used.cpus + EPSILON
-            and need.memory <= size.memory - used.memory + EPSILON
-            and (not self.orphans or need.fits(self.room))
+            resources.gpus <= size.gpus - used.gpus + EPSILON
+            and resources.cpus <= size.cpus - used.cpus + EPSILON
+            and resources.memory <= size.memory - used.memory + EPSILON
+            and (not self.orphans or resources.fits(self.room))
         )
 
     @property
@@ -83,7 +83,7 @@
         self.unheeded += 1
         self.unheeded_at = now
 
-    def fetched(self, spec: Spec) -> None:
+    def fetched(self, spec: JobSpec) -> None:
         """The machine has this image now; the least recently used ones make room."""
         self.fetching.pop(spec.image, None)
         self.images[spec.image] = spec.image_gb
@@ -91,7 +91,7 @@
         while len(self.images) > 1 and sum(self.images.values()) > self.type.cache_gb:
             self.images.popitem(last=False)
 
-    def fetch_wait(self, spec: Spec) -> float:
+    def fetch_wait(self, spec: JobSpec) -> float:
         """Seconds until a task of this job would have its image here."""
         if spec.image in self.images:
             return 0.0
@@ -100,7 +100,7 @@
             waiting += spec.image_gb
         return waiting / self.type.fetch_rate if self.type.fetch_rate > 0 else 0.0
 
-    def fetch_harm(self, spec: Spec) -> float:
+    def fetch_harm(self, spec: JobSpec) -> float:
         """Seconds that this job's image would add to the fetches under way here, which share the rate."""
         others = len(self.fetching) - (spec.image in self.fetching)
         if others <= 0 or spec.image in self.images or spec.image in self.fetching or self.type.fetch_rate <= 0:
@@ -113,7 +113,7 @@
     return max(lease_s * silent_ratio, report_s * SILENT_REPORTS)
 
 
-class Fleet:
+class MachineInventory:
     """All machines of one leader's term."""
 
     def __init__(self, report_s: float, lease_s: float, silent_ratio: float, began: float, term: int) -> None:
@@ -138,30 +138,34 @@
             self.machines[name] = machine
         return machine
 
-    def observe(self, report: Report, kind: MachineType, now: float) -> Machine | None:
+    def observe(self, heartbeat: WorkerHeartbeat, kind: MachineType, now: float) -> Machine | None:
         """Take in a report; None when it is older than one already taken in, or its machine is gone."""
-        if report.machine in self.deleted:
+        if heartbeat.machine in self.deleted:
             return None
-        machine = self.add(report.machine, kind, report.zone, report.spot, now)
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        machine = self.add(heartbeat.machine, kind, heartbeat.zone, heartbeat.spot, now)
+        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return None
-        if machine.up and report.session == machine.session and now - machine.answered > self.longest_lease():
+        if (
+            machine.up
+            and heartbeat.incarnation == machine.incarnation
+            and now - machine.answered > self.longest_lease()
+        ):
             return None  # held up on its way: the worker's lease has ended since, and it is in its next session
         # the first report after a silence may have been held up too, its answer reaching nobody
         machine.returning = machine.up and self.silent(machine, now)
         if not machine.up:
             machine.up = True
             machine.up_since = machine.idle_since = now
-        elif report.session > machine.session and now - machine.answered < self.lease_s:
+        elif heartbeat.incarnation > machine.incarnation and now - machine.answered < self.lease_s:
             machine.ignored(now)  # its lease ran out although it was answered
-        if report.session == machine.session and now - machine.unheeded_at > 2 * self.longest_lease():
+        if heartbeat.incarnation == machine.incarnation and now - machine.unheeded_at > 2 * self.longest_lease():
             machine.unheeded = 0  # a session outlives a lease only if answers arrive: it hears again
-        machine.confirmed = machine.confirmed or report.token == self.term
-        machine.session, machine.seq = report.session, report.seq
+        machine.confirmed = machine.confirmed or heartbeat.token == self.term
+        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.heard = now
         machine.crowd = False
-        if report.notice is not None:
-            machine.notice_until = now + report.notice
+        if heartbeat.notice is not None:
+            machine.notice_until = now + heartbeat.notice
         return machine
 
     def encode_hints(self, most: int) -> list[dict[str, Any]]:
--- a/src/passrock/core/jobs.py
+++ b/src/passrock/core/jobs.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from passrock.core.fleet import Fleet, Machine
+from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.messages import TaskState
-from passrock.core.model import NOTHING, Kind, Resources, Spec
+from passrock.core.model import NOTHING, JobKind, JobSpec, Resources
 from passrock.core.records import PERMIT_MARK, decode_spec, encode_spec
 
 
-def new_record(spec: Spec, submitted: float, mark: list[int] | None = None) -> dict[str, Any]:
+def new_record(spec: JobSpec, submitted: float, mark: list[int] | None = None) -> dict[str, Any]:
     """The first record of an accepted job, with the mark of its permit if it needed one."""
     record = {"s": encode_spec(spec), "at": submitted, **TaskPage(0, spec.tasks).encode()}
     if mark is not None:
@@ -29,7 +29,7 @@
     index: int
     number: int
     machine: str
-    session: int
+    incarnation: int
     page_version: int = 0
     placed_this_term: bool = True
     launch_sequence: int | None = None
@@ -62,14 +62,14 @@
         return {
             "a": self.attempt_number,
             "d": f"{self.done:x}",
-            "l": {str(i): [one.number, one.machine, one.session] for i, one in self.attempts.items()},
+            "l": {str(i): [one.number, one.machine, one.incarnation] for i, one in self.attempts.items()},
         }
 
 
 class Job:
     """A job with its tasks."""
 
-    def __init__(self, spec: Spec, submitted: float, page_size: int, order: float) -> None:
+    def __init__(self, spec: JobSpec, submitted: float, page_size: int, order: float) -> None:
         self.spec = spec
         self.submitted = submitted
         self.order = order
@@ -145,27 +145,27 @@
 
     def next_attempt_number(self, index: int) -> int:
         """The number of the next attempt; one for all tasks of a gang."""
-        if self.spec.kind is Kind.GANG:
+        if self.spec.kind is JobKind.GANG:
             return max((page.attempt_number for page in self.pages.values()), default=0) + 1
         return self.page(index).attempt_number + 1
 
-    def zone_counts(self, fleet: Fleet) -> dict[str, int]:
+    def zone_counts(self, inventory: MachineInventory) -> dict[str, int]:
         """How many tasks are or may be in each zone."""
         counts: dict[str, int] = {}
         for attempt in self.attempts():
-            machine = fleet.machines.get(attempt.machine)
+            machine = inventory.machines.get(attempt.machine)
             zone = machine.zone if machine is not None else "?"
             counts[zone] = counts.get(zone, 0) + 1
         return counts
 
 
-def least_need(jobs: list[Job]) -> Resources:
+def smallest_request(jobs: list[Job]) -> Resources:
     """The least of each resource that any of the jobs' tasks takes."""
-    needs = [job.spec.need for job in jobs]
+    needs = [job.spec.resources for job in jobs]
     return Resources(
-        min((need.cpus for need in needs), default=0.0),
-        min((need.gpus for need in needs), default=0.0),
-        min((need.memory for need in needs), default=0.0),
+        min((resources.cpus for resources in needs), default=0.0),
+        min((resources.gpus for resources in needs), default=0.0),
+        min((resources.memory for resources in needs), default=0.0),
     )
 
 
@@ -205,14 +205,14 @@
         page.mod_revision = mod_revision
         job.done_count += page.done.bit_count()
         self.demand_version += 1
-        for text, (attempt_number, machine, session) in record["l"].items():
-            attempt = TaskAttempt(job, int(text), attempt_number, machine, session, placed_this_term=False)
+        for text, (attempt_number, machine, incarnation) in record["l"].items():
+            attempt = TaskAttempt(job, int(text), attempt_number, machine, incarnation, placed_this_term=False)
             page.attempts[attempt.index] = attempt
             self._track(attempt)
 
     def check_loaded(self, job: Job) -> None:
         """After all chunks are in: a gang that is not whole can't go on."""
-        if job.spec.kind is Kind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
+        if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self.break_gang(job)
         self._finalize_if_over(job)
 
@@ -222,7 +222,7 @@
         attempt.job.attempt_count += 1
         self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.key] = attempt
         team = attempt.job.spec.team
-        self.usage[team] = self.usage.get(team, NOTHING) + attempt.job.spec.need
+        self.usage[team] = self.usage.get(team, NOTHING) + attempt.job.spec.resources
 
     def _untrack(self, attempt: TaskAttempt) -> None:
         attempt.job.attempt_count -= 1
@@ -231,7 +231,7 @@
         if not held:
             del self.attempts_by_machine[attempt.machine]
         team = attempt.job.spec.team
-        self.usage[team] = self.usage[team] - attempt.job.spec.need
+        self.usage[team] = self.usage[team] - attempt.job.spec.resources
 
     def _mark_uncommitted(self, job: Job, page: TaskPage) -> None:
         page.version += 1
@@ -243,12 +243,12 @@
         page.attempt_number = max(page.attempt_number, attempt_number)
         self._mark_uncommitted(job, page)
         attempt = TaskAttempt(
-            job, index, attempt_number, machine.name, machine.session, page_version=page.version, placed_at=now
+            job, index, attempt_number, machine.name, machine.incarnation, page_version=page.version, placed_at=now
         )
         page.attempts[index] = attempt
         job.requeued.discard(index)
         self._track(attempt)
-        machine.used = machine.used + job.spec.need
+        machine.used = machine.used + job.spec.resources
         machine.idle_since = None
         if job.spec.image not in machine.images:
             machine.fetching.setdefault(job.spec.image, job.spec.image_gb)
@@ -278,7 +278,7 @@
         if not job.is_done(attempt.index):
             job.requeued.add(attempt.index)
             job.waiting_since = now
-        if job.spec.kind is Kind.GANG and not job.is_done(attempt.index):
+        if job.spec.kind is JobKind.GANG and not job.is_done(attempt.index):
             self.break_gang(job)
         self._finalize_if_over(job)
 
@@ -291,7 +291,7 @@
         used = NOTHING
         attempts = self.attempts_by_machine.get(machine.name, {})
         for attempt in attempts.values():
-            used = used + attempt.job.spec.need
+            used = used + attempt.job.spec.resources
         machine.used = used
         if attempts or machine.orphans:
             machine.idle_since = None
@@ -309,12 +309,12 @@
     def attempt_completed(self, attempt: TaskAttempt) -> None:
         """A task has completed; a gang completes as a whole."""
         job = attempt.job
-        ended = list(job.attempts()) if job.spec.kind is Kind.GANG else [attempt]
+        ended = list(job.attempts()) if job.spec.kind is JobKind.GANG else [attempt]
         for one in ended:
             page = job.page(one.index)
             del page.attempts[one.index]
             self._untrack(one)
-        indexes = range(job.spec.tasks) if job.spec.kind is Kind.GANG else [attempt.index]
+        indexes = range(job.spec.tasks) if job.spec.kind is JobKind.GANG else [attempt.index]
         for index in indexes:
             page = job.page(index)
             bit = 1 << (index - page.first)
--- a/src/passrock/core/messages.py
+++ b/src/passrock/core/messages.py
@@ -35,7 +35,7 @@
     grace: float = 0.0
 
 
-class TaskReport(msgspec.Struct, frozen=True):
+class TaskStatus(msgspec.Struct, frozen=True):
     """One task in a worker's report."""
 
     job: str
@@ -46,18 +46,18 @@
     saved: bool
 
 
-class Report(msgspec.Struct, frozen=True):
+class WorkerHeartbeat(msgspec.Struct, frozen=True):
     """A worker's check-in."""
 
     machine: str
     type: str
     zone: str
     spot: bool
-    session: int
-    seq: int
+    incarnation: int
+    sequence: int
     token: int
     notice: float | None
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -9,7 +9,7 @@
 EPSILON = 1e-6
 
 
-class Kind(StrEnum):
+class JobKind(StrEnum):
     """How the tasks of a job belong together."""
 
     ARRAY = "array"
@@ -120,16 +120,16 @@
     zones: tuple[str, ...]
 
 
-class Spec(msgspec.Struct, frozen=True):
+class JobSpec(msgspec.Struct, frozen=True):
     """What a user asked for."""
 
     id: str
     job_class: str
     team: str
-    kind: Kind
+    kind: JobKind
     priority: Priority
     tasks: int
-    need: Resources
+    resources: Resources
     image: str
     image_gb: float
     types: tuple[str, ...] | None
--- a/src/passrock/core/aims.py
+++ b/src/passrock/core/objectives.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from passrock.core.jobs import Job
-from passrock.core.model import MachineType, Spec
+from passrock.core.model import JobSpec, MachineType
 
 AHEAD = 1.5  # times the time until a rented machine would run a task: then a due job can't wait any more
 MARGIN = 1.3  # times the owner's estimate of the run time, which is often too low, where a job has to end in time
@@ -21,7 +21,7 @@
     share: float
 
 
-class Aims:
+class ServiceLevelObjectives:
     """The objectives, by class."""
 
     def __init__(self, objectives: tuple[Objective, ...], keep_after: float) -> None:
@@ -75,11 +75,11 @@
         return now - job.waiting_since > self.keep_after * (1 if job.attempt_count == 0 else 2)
 
 
-def fetch_time(spec: Spec, kind: MachineType) -> float:
+def fetch_time(spec: JobSpec, kind: MachineType) -> float:
     """Seconds to fetch a job's image on a machine without it."""
     return spec.image_gb / kind.fetch_rate if kind.fetch_rate > 0 else 0.0
 
 
-def lead_time(kind: MachineType, spec: Spec) -> float:
+def lead_time(kind: MachineType, spec: JobSpec) -> float:
     """Seconds from the request for a machine until a task of the job runs on it."""
     return kind.boot_s + fetch_time(spec, kind)
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passrock.core.model import Kind, Priority, Resources, Spec
+from passrock.core.model import JobKind, JobSpec, Priority, Resources
 
 ATTEMPT_BYTES = 44  # a recorded attempt at its longest, as JSON
 DESCRIPTION_BYTES = 1200  # kept free in a job's own record for its description
@@ -31,7 +31,7 @@
     return max(8, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
 
 
-def encode_spec(spec: Spec) -> dict[str, Any]:
+def encode_spec(spec: JobSpec) -> dict[str, Any]:
     """A job's description for its record."""
     return {
         "id": spec.id,
@@ -40,7 +40,7 @@
         "k": spec.kind.value,
         "p": int(spec.priority),
         "n": spec.tasks,
-        "r": [spec.need.cpus, spec.need.gpus, spec.need.memory],
+        "r": [spec.resources.cpus, spec.resources.gpus, spec.resources.memory],
         "i": spec.image,
         "ig": spec.image_gb,
         "ty": None if spec.types is None else list(spec.types),
@@ -51,16 +51,16 @@
     }
 
 
-def decode_spec(data: dict[str, Any]) -> Spec:
+def decode_spec(data: dict[str, Any]) -> JobSpec:
     """The reverse of encode_spec."""
-    return Spec(
+    return JobSpec(
         id=data["id"],
         job_class=data["c"],
         team=data["t"],
-        kind=Kind(data["k"]),
+        kind=JobKind(data["k"]),
         priority=Priority(data["p"]),
         tasks=data["n"],
-        need=Resources(*data["r"]),
+        resources=Resources(*data["r"]),
         image=data["i"],
         image_gb=data["ig"],
         types=None if data["ty"] is None else tuple(data["ty"]),
@@ -75,6 +75,6 @@
     )
 
 
-def fits_record(spec: Spec) -> bool:
+def fits_record(spec: JobSpec) -> bool:
     """Whether the description is short enough for its record."""
     return len(msgspec.json.encode(encode_spec(spec))) <= DESCRIPTION_BYTES - 100
--- a/src/passrock/core/renting.py
+++ b/src/passrock/core/scaling.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from passrock.core.aims import Aims
-from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Job, JobTable, least_need
-from passrock.core.model import NOTHING, Kind, MachineType, Resources, Team
+from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.jobs import Job, JobTable, smallest_request
+from passrock.core.model import NOTHING, JobKind, MachineType, Resources, Team
+from passrock.core.objectives import ServiceLevelObjectives
 
 LEAST_CHARGED_S = 60.0  # the cloud charges a deleted machine for at least this long
 SMALL_ARRAY = 64  # so many tasks are given a place each, however short they are
@@ -32,7 +32,7 @@
     room: Resources
 
 
-class Market(msgspec.Struct):
+class MachineCatalog(msgspec.Struct):
     """What is known of the cloud: types with prices, and what was refused until when."""
 
     types: dict[str, MachineType] = msgspec.field(default_factory=dict)
@@ -43,7 +43,7 @@
         kind = self.types[offer.type]
         return kind.spot_price if offer.spot else kind.price
 
-    def offers(self, job: Job, aims: Aims, now: float) -> list[Offer]:
+    def offers(self, job: Job, objectives: ServiceLevelObjectives, now: float) -> list[Offer]:
         """What the job may use and the cloud has not refused lately, cheapest first.
 
         A job that may use cheap machines gets a dear one only when it would be late otherwise: most
@@ -52,7 +52,7 @@
         found = [
             Offer(kind.name, zone, spot)
             for kind in self.types.values()
-            if job.spec.need.fits(kind.size)
+            if job.spec.resources.fits(kind.size)
             for zone in kind.zones
             for spot in (True, False)
             if job.spec.allows(kind.name, zone, spot)
@@ -61,7 +61,7 @@
             offer
             for offer in found
             if self.refused.get(offer, 0.0) <= now
-            and (offer.spot or not job.spec.spot or aims.presses(job, self.types[offer.type], now))
+            and (offer.spot or not job.spec.spot or objectives.presses(job, self.types[offer.type], now))
         ]
         return sorted(open_ones, key=lambda offer: (self.price(offer), offer.zone))
 
@@ -88,9 +88,9 @@
     planned = used.get(team.name, NOTHING)
 
     def is_over(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.need.times(count))
+        return not team.within_limit(planned + job.spec.resources.times(count))
 
-    if job.spec.kind is Kind.GANG:
+    if job.spec.kind is JobKind.GANG:
         return 0 if is_over(job.waiting) else job.waiting
     return bisect_left(range(1, _at_once(job) + 1), True, key=is_over)
 
@@ -101,19 +101,19 @@
     A machine is charged for a least time, in which one place runs several short tasks one after the other. A huge
     array of tasks of four seconds had all spot machines rented at once otherwise.
     """
-    if job.spec.kind is Kind.SERVICE:
+    if job.spec.kind is JobKind.SERVICE:
         return job.waiting
     worth = math.ceil(job.waiting * min(1.0, job.spec.estimate / LEAST_CHARGED_S))
     return max(worth, min(job.waiting, SMALL_ARRAY))
 
 
-def plan_rentals(
+def plan_scale_out(
     queue: list[Job],
     job_table: JobTable,
-    fleet: Fleet,
+    inventory: MachineInventory,
     teams: dict[str, Team],
-    market: Market,
-    aims: Aims,
+    catalog: MachineCatalog,
+    objectives: ServiceLevelObjectives,
     now: float,
 ) -> dict[Offer, int]:
     """How many machines of which kind to rent so that the queue's tasks find room.
@@ -123,15 +123,15 @@
     """
     bins = [
         Bin(Offer(m.type.name, m.zone, m.spot), m.type.size)
-        for m in fleet.machines.values()
-        if (not m.up and not m.deleting) or (m.name not in job_table.attempts_by_machine and fleet.absent(m, now))
+        for m in inventory.machines.values()
+        if (not m.up and not m.deleting) or (m.name not in job_table.attempts_by_machine and inventory.absent(m, now))
     ]
     # whatever has no room for the smallest waiting task is left out: on a full fleet that is nearly all of it
-    least = least_need(queue)
+    least = smallest_request(queue)
     rooms = [
         Bin(Offer(m.type.name, m.zone, m.spot), m.room)
-        for m in fleet.machines.values()
-        if m.has_room(least) and fleet.usable(m, now)
+        for m in inventory.machines.values()
+        if m.has_room(least) and inventory.usable(m, now)
     ]
     used = dict(job_table.usage)
     wanted: dict[Offer, int] = {}
@@ -139,11 +139,11 @@
         count = in_reach(job, teams, used)
         if count == 0:
             continue
-        used[job.spec.team] = used.get(job.spec.team, NOTHING) + job.spec.need.times(count)
-        if job.spec.kind is Kind.GANG:
-            added = _gang_bins(job, count, bins, rooms, market, aims, now)
+        used[job.spec.team] = used.get(job.spec.team, NOTHING) + job.spec.resources.times(count)
+        if job.spec.kind is JobKind.GANG:
+            added = _gang_bins(job, count, bins, rooms, catalog, objectives, now)
         else:
-            added = _each_bins(job, count, bins, market, aims, now)
+            added = _each_bins(job, count, bins, catalog, objectives, now)
         for new in added:
             wanted[new.offer] = wanted.get(new.offer, 0) + 1
         bins = [one for one in bins + added if least.fits(one.room)]
@@ -154,39 +154,47 @@
 def _suits(job: Job, one: Bin, zone: str | None) -> bool:
     offer = one.offer
     return (
-        job.spec.need.fits(one.room)
+        job.spec.resources.fits(one.room)
         and (zone is None or offer.zone == zone)
         and job.spec.allows(offer.type, offer.zone, offer.spot)
     )
 
 
-def _each_bins(job: Job, count: int, bins: list[Bin], market: Market, aims: Aims, now: float) -> list[Bin]:
-    need = job.spec.need
+def _each_bins(
+    job: Job, count: int, bins: list[Bin], catalog: MachineCatalog, objectives: ServiceLevelObjectives, now: float
+) -> list[Bin]:
+    resources = job.spec.resources
     added: list[Bin] = []
     for one in sorted((one for one in bins if _suits(job, one, None)), key=lambda one: one.room.gpus):
         if not count:
             return added
-        count -= _fill(one, need, count)
-    offers = market.offers(job, aims, now) if count else []
+        count -= _fill(one, resources, count)
+    offers = catalog.offers(job, objectives, now) if count else []
     while count and offers and len(added) < MOST_PER_RENTAL:
-        one = Bin(offers[0], market.types[offers[0].type].size)
-        count -= _fill(one, need, count)
+        one = Bin(offers[0], catalog.types[offers[0].type].size)
+        count -= _fill(one, resources, count)
         added.append(one)
     return added
 
 
-def _fill(one: Bin, need: Resources, most: int) -> int:
+def _fill(one: Bin, resources: Resources, most: int) -> int:
     """Use a bin for up to ``most`` tasks; returns how many."""
-    count = need.count_in(one.room, most)
-    one.room = one.room - need.times(count)
+    count = resources.count_in(one.room, most)
+    one.room = one.room - resources.times(count)
     return count
 
 
 def _gang_bins(
-    job: Job, count: int, bins: list[Bin], rooms: list[Bin], market: Market, aims: Aims, now: float
+    job: Job,
+    count: int,
+    bins: list[Bin],
+    rooms: list[Bin],
+    catalog: MachineCatalog,
+    objectives: ServiceLevelObjectives,
+    now: float,
 ) -> list[Bin]:
-    need = job.spec.need
-    offers = market.offers(job, aims, now)
+    resources = job.spec.resources
+    offers = catalog.offers(job, objectives, now)
     fitting = [one for one in rooms + bins if _suits(job, one, None)]
     zones: list[str | None] = [None]
     if job.spec.one_zone:
@@ -200,38 +208,40 @@
             if not missing:
                 break
             if zone is None or one.offer.zone == zone:
-                slots = need.count_in(one.room, missing)
+                slots = resources.count_in(one.room, missing)
                 takes.append((one, slots))
                 missing -= slots
         if missing and not here:
             continue
-        price = missing * market.price(here[0]) if missing else 0.0
+        price = missing * catalog.price(here[0]) if missing else 0.0
         if best is None or price < best[0]:
             best = (price, takes, here[0] if missing else None, missing)
     if best is None:
         return []
     for one, slots in best[1]:
-        one.room = one.room - need.times(slots)
+        one.room = one.room - resources.times(slots)
     added: list[Bin] = []
     offer = best[2]
     if offer is not None:
-        size = market.types[offer.type].size
+        size = catalog.types[offer.type].size
         missing = best[3]
         while missing:
             new = Bin(offer, size)
-            missing -= _fill(new, need, missing)
+            missing -= _fill(new, resources, missing)
             added.append(new)
     return added
 
 
-def plan_returns(fleet: Fleet, job_table: JobTable, patience: dict[str, float], now: float) -> list[Machine]:
+def plan_scale_in(
+    inventory: MachineInventory, job_table: JobTable, patience: dict[str, float], now: float
+) -> list[Machine]:
     """Idle machines that have waited long enough for work.
 
     A cheap spot machine may wait longer than a dear one, in the ratio of their prices, and no
     machine goes before the time that is charged anyway.
     """
     going = []
-    for machine in fleet.machines.values():
+    for machine in inventory.machines.values():
         if not machine.up or machine.deleting or machine.idle_since is None:
             continue
         if machine.name in job_table.attempts_by_machine:
--- a/src/passrock/core/placement.py
+++ b/src/passrock/core/scheduler.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from passrock.core.aims import Aims, fetch_time
-from passrock.core.fleet import Fleet, Machine
-from passrock.core.jobs import Job, JobTable, TaskAttempt, least_need
-from passrock.core.model import NOTHING, Kind, MachineType, Priority, Resources, Team
+from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.jobs import Job, JobTable, TaskAttempt, smallest_request
+from passrock.core.model import NOTHING, JobKind, MachineType, Priority, Resources, Team
+from passrock.core.objectives import ServiceLevelObjectives, fetch_time
 
 # Costs are in seconds, so that they weigh against the wait for an image.
 PACK_COST = 15.0
@@ -42,25 +42,30 @@
             room = self.room[machine.name] = machine.room
         return room
 
-    def take(self, machine: Machine, need: Resources) -> None:
+    def take(self, machine: Machine, resources: Resources) -> None:
         """Use some of it."""
-        self.room[machine.name] = self.of(machine) - need
+        self.room[machine.name] = self.of(machine) - resources
 
-    def give(self, machine: Machine, need: Resources) -> None:
+    def give(self, machine: Machine, resources: Resources) -> None:
         """Undo a tentative use."""
-        self.room[machine.name] = self.of(machine) + need
+        self.room[machine.name] = self.of(machine) + resources
 
 
-class Placer:
+class Scheduler:
     """Places waiting tasks; one pass at a time."""
 
     def __init__(
-        self, job_table: JobTable, fleet: Fleet, teams: dict[str, Team], bound: dict[str, str], aims: Aims
+        self,
+        job_table: JobTable,
+        inventory: MachineInventory,
+        teams: dict[str, Team],
+        assignments: dict[str, str],
+        objectives: ServiceLevelObjectives,
     ) -> None:
         self.job_table = job_table
-        self.fleet = fleet
+        self.inventory = inventory
         self.teams = teams
-        self.bound = bound
+        self.assignments = assignments
         self.holds: dict[str, Hold] = {}
         self.rooms = FreeResources()
         self.usable: list[Machine] = []
@@ -78,8 +83,8 @@
         self.protected: frozenset[str] = frozenset()  # jobs that are not displaced, for the same reason
         self._ranks: dict[str, tuple[bool, bool, int]] = {}  # by job, as of the same version
         self._guaranteed_as_of = -1
-        self.aims = aims
-        self.patience = fleet.report_s * 1.5  # until a task without anything to save has made room
+        self.objectives = objectives
+        self.patience = inventory.report_s * 1.5  # until a task without anything to save has made room
 
     # -- order ---------------------------------------------------------------------------
 
@@ -88,7 +93,7 @@
         total = NOTHING
         for job in self.job_table.jobs.values():
             if job.spec.team == team and job.spec.priority >= least and not job.cancelled:
-                total = total + job.spec.need.times(job.spec.tasks - job.done_count)
+                total = total + job.spec.resources.times(job.spec.tasks - job.done_count)
         return total
 
     def find_guaranteed(self) -> None:
@@ -103,7 +108,7 @@
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
-            total = asked.get(team.name, NOTHING) + job.spec.need.times(job.spec.tasks - job.done_count)
+            total = asked.get(team.name, NOTHING) + job.spec.resources.times(job.spec.tasks - job.done_count)
             asked[team.name] = total
             if team.within_guarantee(total):
                 self.guaranteed.add(job.spec.id)
@@ -130,15 +135,15 @@
             and not job.cancelled
             and job.not_before <= now
             and job.final is None
-            and not (job.spec.kind is Kind.GANG and job.attempt_count > 0)
+            and not (job.spec.kind is JobKind.GANG and job.attempt_count > 0)
         ]
 
         def order(job: Job) -> tuple[bool, bool, bool, bool, float, float]:
             production, guaranteed, _ = self.rank(job)
             behind = job.spec.id not in self.favoured
-            if self.aims.overdue(job, now):  # oldest first; otherwise those past all aims would wait for ever
+            if self.objectives.overdue(job, now):  # oldest first; otherwise those past all aims would wait for ever
                 return behind, not production, False, False, job.waiting_since, job.order
-            due = self.aims.due(job, now, guaranteed, self.longest_fetch(job))
+            due = self.objectives.due(job, now, guaranteed, self.longest_fetch(job))
             return behind, not production, True, not guaranteed, due, job.order
 
         return sorted(ready, key=order)
@@ -158,10 +163,10 @@
         self.zones = {}
         self.kinds = {}
         started: list[TaskAttempt] = []
-        for machine in self.fleet.machines.values():
+        for machine in self.inventory.machines.values():
             if machine.orphans:
                 self._count_orphans(machine)
-            if self.fleet.usable(machine, now):
+            if self.inventory.usable(machine, now):
                 self.usable.append(machine)
                 self.zones[machine.zone] = None
                 self.kinds[machine.type.name] = machine.type
@@ -171,7 +176,7 @@
         self._find_open()
         self.hopeless = {}
         for job in self.waiting:
-            if job.spec.kind is Kind.GANG:
+            if job.spec.kind is JobKind.GANG:
                 started += self.place_gang(job, now)
             else:
                 if job.spec.id in self.favoured:
@@ -181,16 +186,16 @@
         return started
 
     def _count_orphans(self, machine: Machine) -> None:
-        for (job_id, index), need in machine.orphans.items():
+        for (job_id, index), resources in machine.orphans.items():
             self.orphans.add((job_id, index))
             job = self.job_table.jobs.get(job_id)
             if job is not None:
                 team = job.spec.team
-                self.orphan_usage[team] = self.orphan_usage.get(team, NOTHING) + need
+                self.orphan_usage[team] = self.orphan_usage.get(team, NOTHING) + resources
 
     def _find_open(self) -> None:
         """The machines with room for the smallest waiting task; on a full fleet that is a handful."""
-        least = least_need(self.waiting)
+        least = smallest_request(self.waiting)
         self.open = [machine for machine in self.usable if machine.has_room(least)]
 
     def allowed_now(self, job: Job, count: int) -> bool:
@@ -199,22 +204,22 @@
         if team is None:
             return False  # its limit isn't known since the team was taken out of the settings; the job stays known
         used = self.job_table.usage.get(team.name, NOTHING) + self.orphan_usage.get(team.name, NOTHING)
-        return team.within_limit(used + job.spec.need.times(count))
+        return team.within_limit(used + job.spec.resources.times(count))
 
     def cost(self, job: Job, machine: Machine) -> float:
         """How dear this machine is for a task of the job."""
         spec = job.spec
-        left = (self.rooms.of(machine) - spec.need).share_of(machine.type.size)
+        left = (self.rooms.of(machine) - spec.resources).share_of(machine.type.size)
         harm = machine.fetch_harm(spec)
         cost = machine.fetch_wait(spec) + harm + PACK_COST * left
-        owner = self.bound.get(machine.name)
+        owner = self.assignments.get(machine.name)
         if owner is not None and owner != spec.team:
             cost += FOREIGN_COST
         if spec.spot and not machine.spot:
             cost += DEAR_COST
         if machine.name in job.avoid:
             cost += AVOID_COST
-        if spec.kind is Kind.SERVICE:
+        if spec.kind is JobKind.SERVICE:
             # replicas stay for long: spread over empty machines they strand the rest of each, which then
             # serves no gang of whole machines, and is paid for until the last replica ends; but where one
             # is still fetching another image, both would be late
@@ -228,12 +233,12 @@
         aims leave it time: it took them for minutes, and gangs waited beside cheap room.
         """
         spec = job.spec
-        patient = spec.spot and spec.kind is Kind.ARRAY
-        waits = {name: patient and not self.aims.presses(job, kind, now) for name, kind in self.kinds.items()}
+        patient = spec.spot and spec.kind is JobKind.ARRAY
+        waits = {name: patient and not self.objectives.presses(job, kind, now) for name, kind in self.kinds.items()}
         return [
             machine
             for machine in self.open
-            if spec.need.fits(self.rooms.of(machine))
+            if spec.resources.fits(self.rooms.of(machine))
             and spec.allows(machine.type.name, machine.zone, machine.spot)
             and (zone is None or machine.zone == zone)
             and (machine.spot or not waits[machine.type.name])
@@ -253,7 +258,7 @@
 
     def again(self, job: Job, machine: Machine, heap: list[tuple[float, str, Machine]]) -> None:
         """Put a machine back after a task was placed on it, if one more fits."""
-        if job.spec.need.fits(self.rooms.of(machine)):
+        if job.spec.resources.fits(self.rooms.of(machine)):
             heappush(heap, (self.cost(job, machine), machine.name, machine))
 
     def fixed_zone(self, job: Job, counts: dict[str, int]) -> str | None:
@@ -263,10 +268,10 @@
     def place_each(self, job: Job, now: float) -> list[TaskAttempt]:
         """Tasks of an array or replicas, one by one."""
         spec = job.spec
-        kind = (spec.need, spec.types, spec.zone, spec.spot, spec.kind)
+        kind = (spec.resources, spec.types, spec.zone, spec.spot, spec.kind)
         if kind in self.hopeless and not self.has_hold(job):
             return []
-        counts = job.zone_counts(self.fleet) if spec.one_zone or spec.spread else {}
+        counts = job.zone_counts(self.inventory) if spec.one_zone or spec.spread else {}
         if "?" in counts:
             return []  # a task is somewhere that is not known yet
         started: list[TaskAttempt] = []
@@ -274,7 +279,7 @@
             return started
         heap = self.by_cost(job, self.fixed_zone(job, counts), now)
         may_differ = bool(counts) or (
-            spec.spot and spec.kind is Kind.ARRAY
+            spec.spot and spec.kind is JobKind.ARRAY
         )  # what stops this job may not stop its kind
         if not heap:
             if not may_differ:
@@ -296,7 +301,7 @@
                     self.hopeless[kind] = 1
                 break
             machine = heappop(heap)[2]
-            self.rooms.take(machine, spec.need)
+            self.rooms.take(machine, spec.resources)
             if spec.one_zone or spec.spread:
                 counts[machine.zone] = counts.get(machine.zone, 0) + 1
             started.append(self.job_table.start(job, index, machine, job.next_attempt_number(index), now))
@@ -318,7 +323,7 @@
     def place_gang(self, job: Job, now: float) -> list[TaskAttempt]:
         """All tasks of a gang or none."""
         spec = job.spec
-        kind = (spec.need, spec.types, spec.zone, spec.spot, spec.one_zone)
+        kind = (spec.resources, spec.types, spec.zone, spec.spot, spec.one_zone)
         if spec.tasks >= self.hopeless.get(kind, MANY) and not self.has_hold(job):
             return self.keep_room(job, now)
         if any(key[0] == spec.id for key in self.orphans) or not self.allowed_now(job, spec.tasks):
@@ -332,11 +337,11 @@
                 price, _, machine = heappop(heap)
                 worst = max(worst, machine.fetch_wait(spec))
                 total += price
-                self.rooms.take(machine, spec.need)
+                self.rooms.take(machine, spec.resources)
                 chosen.append(machine)
                 self.again(job, machine, heap)
             for machine in chosen:
-                self.rooms.give(machine, spec.need)
+                self.rooms.give(machine, spec.resources)
             if len(chosen) == spec.tasks:
                 price = worst + total / spec.tasks
                 if best is None or price < best[0]:
@@ -347,7 +352,7 @@
         attempt_number = job.next_attempt_number(0)
         started = []
         for index, machine in enumerate(best[1]):
-            self.rooms.take(machine, spec.need)
+            self.rooms.take(machine, spec.resources)
             self.holds.pop(machine.name, None)
             started.append(self.job_table.start(job, index, machine, attempt_number, now))
         job.advance()
@@ -364,8 +369,8 @@
         nothing has been placed.
         """
         spec = job.spec
-        wanted = spec.tasks if spec.kind is Kind.GANG else 1
-        goes_first = spec.id in self.favoured or self.aims.overdue(job, now)
+        wanted = spec.tasks if spec.kind is JobKind.GANG else 1
+        goes_first = spec.id in self.favoured or self.objectives.overdue(job, now)
         if not goes_first or not self.allowed_now(job, wanted):
             return []
         mine = {name for name, hold in self.holds.items() if hold.job == spec.id}
@@ -377,8 +382,10 @@
             for machine in self.usable:
                 if (zone is not None and machine.zone != zone) or not self.free_for(job, machine):
                     continue
-                if spec.allows(machine.type.name, machine.zone, machine.spot) and spec.need.fits(machine.type.size):
-                    wait = self.wait_for(machine, spec.need, now)
+                if spec.allows(machine.type.name, machine.zone, machine.spot) and spec.resources.fits(
+                    machine.type.size
+                ):
+                    wait = self.wait_for(machine, spec.resources, now)
                     slots.append((wait, machine.name not in mine, machine.name, machine))
             chosen = nsmallest(wanted, slots, key=lambda slot: slot[:3])
             if chosen:
@@ -393,30 +400,30 @@
                 self.holds[machine.name] = Hold(spec.id, now + 2 * self.patience)
         return []
 
-    def wait_for(self, machine: Machine, need: Resources, now: float) -> float:
+    def wait_for(self, machine: Machine, resources: Resources, now: float) -> float:
         """``room_in``, reckoned once a pass: gangs of one class ask for the same of every machine."""
-        waits = self.waits.setdefault(need, {})
+        waits = self.waits.setdefault(resources, {})
         wait = waits.get(machine.name)
         if wait is None:
-            wait = waits[machine.name] = self.room_in(machine, need, now)
+            wait = waits[machine.name] = self.room_in(machine, resources, now)
         return wait
 
-    def room_in(self, machine: Machine, need: Resources, now: float) -> float:
+    def room_in(self, machine: Machine, resources: Resources, now: float) -> float:
         """Seconds until the machine is likely to have this room, by the owners' estimates."""
         room = self.rooms.of(machine)
-        if need.fits(room):
+        if resources.fits(room):
             return 0.0
         ends = []
         for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values():
             left = attempt.job.spec.estimate - (now - (attempt.running_since or now))
             if attempt.stop_grace_s is not None:
                 left = self.patience
-            elif attempt.job.spec.kind is Kind.SERVICE:
+            elif attempt.job.spec.kind is JobKind.SERVICE:
                 left = LONG_S
-            ends.append((max(left, self.patience), attempt.job.spec.need))
+            ends.append((max(left, self.patience), attempt.job.spec.resources))
         for wait, amount in sorted(ends, key=lambda end: end[0]):
             room = room + amount
-            if need.fits(room):
+            if resources.fits(room):
                 return wait
         return LONG_S
 
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from passrock.core.model import Kind, MachineType, Spec, Team
+from passrock.core.model import JobKind, JobSpec, MachineType, Team
 
 
-def fault(spec: Spec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
+def fault(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
     """Why a job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
     if not any(
-        spec.need.fits(kind.size) and any(spec.allows(kind.name, zone, False) for zone in kind.zones)
+        spec.resources.fits(kind.size) and any(spec.allows(kind.name, zone, False) for zone in kind.zones)
         for kind in types.values()
     ):
         return "a task fits no allowed machine type"
-    at_once = 1 if spec.kind is Kind.ARRAY else spec.tasks
-    if not team.within_limit(spec.need.times(at_once)):
+    at_once = 1 if spec.kind is JobKind.ARRAY else spec.tasks
+    if not team.within_limit(spec.resources.times(at_once)):
         return "more than the team's limit"
-    if spec.one_zone and spec.spread and spec.tasks > 1 and spec.kind is not Kind.ARRAY:
+    if spec.one_zone and spec.spread and spec.tasks > 1 and spec.kind is not JobKind.ARRAY:
         return "one zone and spread exclude each other"
     return None
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -19,7 +19,7 @@
 PIECE = 100  # cancellations in one message, far inside its limit
 
 
-class Heartbeat(msgspec.Struct, frozen=True):
+class PeerHeartbeat(msgspec.Struct, frozen=True):
     """A controller's view: the highest term it knows, whether it leads, how it sees the state service.
 
     ``redirects`` counts the workers of that term which it had to send to the leader lately. ``run`` tells one life
@@ -59,10 +59,10 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Heartbeat)
+_decoder = msgspec.msgpack.Decoder(PeerHeartbeat)
 
 
-def frame(message: Heartbeat) -> bytes:
+def frame(message: PeerHeartbeat) -> bytes:
     """A message with its length."""
     body = _encoder.encode(message)
     return len(body).to_bytes(LENGTH, "big") + body
@@ -71,7 +71,7 @@
 class PeerConnection(asyncio.Protocol):
     """Takes whole messages out of a connection, in either role."""
 
-    def __init__(self, receive: Callable[[PeerConnection, Heartbeat], None]) -> None:
+    def __init__(self, receive: Callable[[PeerConnection, PeerHeartbeat], None]) -> None:
         self.receive = receive
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
@@ -106,7 +106,7 @@
                 return
             self.receive(self, message)
 
-    def send(self, message: Heartbeat) -> None:
+    def send(self, message: PeerHeartbeat) -> None:
         """Write a message, if still connected."""
         if self.transport is not None:
             self.transport.write(frame(message))
@@ -124,13 +124,13 @@
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
         self.connection: PeerConnection | None = None
-        self.answer: Heartbeat | None = None
+        self.answer: PeerHeartbeat | None = None
         self.asked_at = -1e9
         self.waiting_since: float | None = None
-        self.heard: Callable[[Heartbeat, float], None] = lambda heartbeat, asked_at: None
+        self.heard: Callable[[PeerHeartbeat, float], None] = lambda heartbeat, asked_at: None
         self._sent: list[float] = []
 
-    async def ask(self, heartbeat: Heartbeat, timeout: float) -> None:
+    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
         """Send our view; the answer arrives later or never."""
         if self.waiting_since is None:
             self.waiting_since = monotonic_time()
@@ -155,7 +155,7 @@
         self._sent.append(monotonic_time())
         self.connection.send(heartbeat)
 
-    def _answered(self, connection: PeerConnection, heartbeat: Heartbeat) -> None:
+    def _answered(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
         if connection is not self.connection or not self._sent:
             return
         if heartbeat.node != self.peer.node:
@@ -182,12 +182,12 @@
 class Link(Protocol):
     """A way to ask one peer."""
 
-    answer: Heartbeat | None
+    answer: PeerHeartbeat | None
     asked_at: float
     waiting_since: float | None  # asked since then with neither an answer nor a refusal
-    heard: Callable[[Heartbeat, float], None]  # called with each answer and when it was asked for
+    heard: Callable[[PeerHeartbeat, float], None]  # called with each answer and when it was asked for
 
-    async def ask(self, heartbeat: Heartbeat, timeout: float) -> None:
+    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
         """Send our view."""
 
 
@@ -197,8 +197,8 @@
     def __init__(
         self,
         links: Sequence[Link],
-        own_view: Callable[[], Heartbeat],
-        seen: Callable[[Heartbeat], None],
+        own_view: Callable[[], PeerHeartbeat],
+        seen: Callable[[PeerHeartbeat], None],
         cancellations: Cancellations,
     ) -> None:
         self.links = links
@@ -215,10 +215,10 @@
         loop = asyncio.get_running_loop()
         return await loop.create_server(lambda: PeerConnection(self._asked), address.host, address.port)
 
-    def _asked(self, connection: PeerConnection, heartbeat: Heartbeat) -> None:
+    def _asked(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
         connection.send(self.reply(heartbeat))
 
-    def reply(self, heartbeat: Heartbeat) -> Heartbeat:
+    def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
         """Take in a peer's view and give ours, with the cancellations that it doesn't know yet."""
         self._take(heartbeat)
         view = self._view()
@@ -227,7 +227,7 @@
         total = self.cancellations.total
         return msgspec.structs.replace(view, first=first, total=total, cancelled=tuple(entries))
 
-    def _heard(self, knowledge: PeerKnowledge, heartbeat: Heartbeat, asked_at: float) -> None:
+    def _heard(self, knowledge: PeerKnowledge, heartbeat: PeerHeartbeat, asked_at: float) -> None:
         """Enter what a peer knows of cancellations, before the answer counts for anything."""
         fresh = knowledge.take(
             heartbeat.run,
@@ -242,14 +242,14 @@
             self.cancellations.learn(job_id, monotonic_time())
         self._take(heartbeat)
 
-    def _take(self, heartbeat: Heartbeat) -> None:
+    def _take(self, heartbeat: PeerHeartbeat) -> None:
         self.seen(heartbeat)
         for extension in self.extensions:
             data = heartbeat.extension(extension.name)
             if data is not None:
                 extension.received(heartbeat.node, data)
 
-    def _view(self) -> Heartbeat:
+    def _view(self) -> PeerHeartbeat:
         """Our view, with what the subsystems that are switched on add to it."""
         view = self.own_view()
         if not self.extensions:
@@ -268,7 +268,7 @@
             )
             await asyncio.sleep(every)
 
-    def answers(self, since: float) -> list[tuple[Heartbeat, float]]:
+    def answers(self, since: float) -> list[tuple[PeerHeartbeat, float]]:
         """Answers to what was asked after ``since``, with the time of asking."""
         return [
             (link.answer, link.asked_at) for link in self.links if link.answer is not None and link.asked_at >= since
--- a/src/passrock/settings.py
+++ b/src/passrock/settings.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from passrock.core.aims import Objective
 from passrock.core.cancellations import renewal_horizon
 from passrock.core.model import Team
+from passrock.core.objectives import Objective
 
 if TYPE_CHECKING:
     from passrock.admission.settings import AdmissionSettings
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from passrock.core.model import Kind, Priority, Resources, Spec
+from passrock.core.model import JobKind, JobSpec, Priority, Resources
 from passrock.wire import cbor
 
 RUNS_PATH = "/v2/runs"
@@ -16,7 +16,7 @@
 JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
 TASK_LIMIT = 100_000
 
-KINDS = {"batch": Kind.ARRAY, "group": Kind.GANG, "service": Kind.SERVICE}
+KINDS = {"batch": JobKind.ARRAY, "group": JobKind.GANG, "service": JobKind.SERVICE}
 PRIORITIES = {
     "prod": Priority.PRODUCTION,
     "high": Priority.HIGH,
@@ -76,7 +76,7 @@
     deadline: cbor.Number | None = None
 
 
-def parse_submission(body: bytes) -> Spec:
+def parse_submission(body: bytes) -> JobSpec:
     """A submission; raises MalformedBodyError when anything in it is missing or wrong."""
     message = cbor.decode(body, _Submission)
     if not is_job_id(message.job):
@@ -85,14 +85,14 @@
     priority = PRIORITIES.get(message.priority)
     if kind is None or priority is None:
         raise cbor.MalformedBodyError("format or precedence: unknown value")
-    return Spec(
+    return JobSpec(
         id=message.job,
         job_class=message.job_class,
         team=message.team,
         kind=kind,
         priority=priority,
         tasks=message.tasks,
-        need=Resources(message.cpus, message.gpus, message.memory),
+        resources=Resources(message.cpus, message.gpus, message.memory),
         image=message.image,
         image_gb=message.image_gb,
         types=message.types,
--- a/src/passrock/wire/workers.py
+++ b/src/passrock/wire/workers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passrock.core.messages import Command, Op, Report, TaskReport, TaskState
+from passrock.core.messages import Command, Op, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.wire import cbor
 
 CHECKIN_PATH = "/checkin"
@@ -39,15 +39,15 @@
     saved: object = None
 
 
-class _Report(
+class _Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "stack",
         "type": "binding",
         "zone": "branch",
         "spot": "loaners",
-        "session": "shift",
-        "seq": "accession",
+        "incarnation": "shift",
+        "sequence": "accession",
         "token": "warrant",
         "notice": "recallS",
         "tasks": "volumes",
@@ -57,8 +57,8 @@
     type: cbor.Text
     zone: cbor.Text
     spot: bool
-    session: cbor.Count
-    seq: cbor.Count
+    incarnation: cbor.Count
+    sequence: cbor.Count
     token: cbor.Count
     tasks: list[_Task]
     notice: cbor.Number | None = None
@@ -72,31 +72,31 @@
     return job, int(index)
 
 
-def parse_report(body: bytes) -> Report:
+def parse_heartbeat(body: bytes) -> WorkerHeartbeat:
     """A check-in; raises MalformedBodyError on anything unlike one."""
-    message = cbor.decode(body, _Report)
-    cbor.check_counts(message.session, message.seq, message.token)
-    return Report(
+    message = cbor.decode(body, _Heartbeat)
+    cbor.check_counts(message.incarnation, message.sequence, message.token)
+    return WorkerHeartbeat(
         machine=message.machine,
         type=message.type,
         zone=message.zone,
         spot=message.spot,
-        session=message.session,
-        seq=message.seq,
+        incarnation=message.incarnation,
+        sequence=message.sequence,
         token=message.token,
         notice=message.notice,
-        tasks=[_task_report(task) for task in message.tasks],
+        tasks=[_task_status(task) for task in message.tasks],
     )
 
 
-def _task_report(task: _Task) -> TaskReport:
+def _task_status(task: _Task) -> TaskStatus:
     state = STATES.get(task.status)
     if state is None:
         raise cbor.MalformedBodyError("status: unknown value")
     cbor.check_counts(task.attempt_number)
     job, index = split_task(task.name)
     reason = REASONS.get(task.reason, "") if isinstance(task.reason, str) else ""
-    return TaskReport(job, index, task.attempt_number, state, reason, task.saved is True)
+    return TaskStatus(job, index, task.attempt_number, state, reason, task.saved is True)
 
 
 def answer(token: int, commands: list[Command]) -> bytes:
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -17,13 +17,13 @@
 from passrock.admission.controller.control import AdmissionControl  # noqa: E402
 from passrock.admission.controller.dispatch import Dispatch  # noqa: E402
 from passrock.admission.settings import AdmissionSettings  # noqa: E402
+from passrock.controller.autoscaler import Autoscaler  # noqa: E402
 from passrock.controller.binding_rounds import BindingRounds  # noqa: E402
-from passrock.controller.checkin_handler import CheckinHandler  # noqa: E402
 from passrock.controller.failure_detector import FailureDetector  # noqa: E402
-from passrock.controller.fleet_sizing import FleetSizing  # noqa: E402
+from passrock.controller.heartbeat_handler import HeartbeatHandler  # noqa: E402
+from passrock.controller.leader_term import LeaderTerm  # noqa: E402
 from passrock.controller.node import Node  # noqa: E402
-from passrock.controller.term import Term  # noqa: E402
-from passrock.core.placement import Placer  # noqa: E402
+from passrock.core.scheduler import Scheduler  # noqa: E402
 from standins import virtual_loop  # noqa: E402
 from standins.world import World  # noqa: E402
 
@@ -116,15 +116,15 @@
         ):
             timed(owner, name)
     if options.profile:
-        for owner, name in ((Node, "_checkin"), (Term, "evaluate")):
+        for owner, name in ((Node, "_checkin"), (LeaderTerm, "evaluate")):
             profiled(owner, name)
     for owner, names in (
         (Node, ("_checkin",)),
-        (CheckinHandler, ("handle",)),
-        (Term, ("evaluate", "_preempt")),
-        (FleetSizing, ("adjust",)),
+        (HeartbeatHandler, ("handle",)),
+        (LeaderTerm, ("evaluate", "_preempt")),
+        (Autoscaler, ("adjust",)),
         (BindingRounds, ("_run",)),
-        (Placer, ("run",)),
+        (Scheduler, ("run",)),
         (FailureDetector, ("evaluate",)),
     ):
         for name in names:
--- a/tests/standins/scenes.py
+++ b/tests/standins/scenes.py
@@ -55,10 +55,10 @@
 
 
 async def away_longer_than_a_lease(world, leader):
-    sessions = {name: worker.session for name, worker in world.workers.items()}
+    sessions = {name: worker.incarnation for name, worker in world.workers.items()}
     await world.withdraw("wk-000002")
     await world.crash(list(world.nodes), world.limits["lease_s"] * 1.5)
-    return all(world.workers[name].session > session for name, session in sessions.items())
+    return all(world.workers[name].incarnation > incarnation for name, incarnation in sessions.items())
 
 
 async def leader_ends_while_machines_are_cut(world, leader, kind="machine", for_s=8.0):
--- a/tests/standins/sim_node.py
+++ b/tests/standins/sim_node.py
@@ -129,5 +129,5 @@
         """The process ends without a signal; what it left running can't reach anything any more."""
         self.alive = False
         self.work.cancel()
-        if self.node.term is not None:
-            self.node.term.stop()
+        if self.node.leader_term is not None:
+            self.node.leader_term.stop()
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -33,7 +33,7 @@
         self.name, self.type, self.zone, self.spot = row["ref"], row["binding"], row["branch"], row["loaners"]
         self.row = row
         self.limits = limits
-        self.session, self.seq, self.token = 1, 0, 0
+        self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks = {}
         self.sent_ok = self.now()
         self.alive = True
@@ -66,7 +66,7 @@
                 continue
             if self.now() - self.sent_ok > self.limits["lease_s"]:
                 self._forget_all()
-                self.session += 1
+                self.incarnation += 1
                 self.sent_ok = self.now()
                 self.changed.set()
 
@@ -78,7 +78,7 @@
             if self.now() < self.hung_until:
                 await asyncio.sleep(self.hung_until - self.now())
             node = order[at]
-            sent, session = self.now(), self.session
+            sent, incarnation = self.now(), self.incarnation
             try:
                 status, body = await self.world.to_node(self, node, self.report(), DROP_AFTER_S)
             except (TimeoutError, ConnectionError):
@@ -87,7 +87,7 @@
                 await asyncio.sleep(self.hung_until - self.now())
                 status = 0 if self.now() - sent > DROP_AFTER_S else status
             if status == 200:
-                if session == self.session and body["warrant"] >= self.token:
+                if incarnation == self.incarnation and body["warrant"] >= self.token:
                     self.sent_ok = sent
                     self.token = body["warrant"]
                     for slip in body["slips"]:
@@ -108,7 +108,7 @@
             self.changed.clear()
 
     def report(self):
-        self.seq += 1
+        self.sequence += 1
         recall = None if self.notice_end is None else max(0.0, self.notice_end - self.now())
         return cbor2.dumps(
             {
@@ -117,8 +117,8 @@
                 "binding": self.type,
                 "branch": self.zone,
                 "loaners": self.spot,
-                "shift": self.session,
-                "accession": self.seq,
+                "shift": self.incarnation,
+                "accession": self.sequence,
                 "warrant": self.token,
                 "recallS": recall,
                 "volumes": [task.row() for task in self.tasks.values()],
--- a/tests/tables.py
+++ b/tests/tables.py
@@ -1,16 +1,16 @@
 """Small builders for the tables of cases."""
 
-from passrock.core.aims import Aims, Objective
-from passrock.core.fleet import Fleet
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import Report, TaskReport, TaskState
-from passrock.core.model import NOTHING, Kind, MachineType, Priority, Resources, Spec, Team
-from passrock.core.placement import Placer
+from passrock.core.messages import TaskState, TaskStatus, WorkerHeartbeat
+from passrock.core.model import NOTHING, JobKind, JobSpec, MachineType, Priority, Resources, Team
+from passrock.core.objectives import Objective, ServiceLevelObjectives
 from passrock.core.preemption import Preemption
+from passrock.core.scheduler import Scheduler
 
 BOX = MachineType("box", Resources(16, 2, 64), 100.0, 1.0, 5.0, 1.5, 10.0, ("a", "b", "c"))
 TEAMS = {name: Team(name, 0, 0, 4, 8) for name in ("t0", "t1")}
-AIMS = Aims(
+AIMS = ServiceLevelObjectives(
     (
         Objective("wait", "soon", 30.0, 0.9),
         Objective("finished", "soon", 200.0, 0.9),
@@ -27,10 +27,10 @@
         "id": f"wk-{number}",
         "job_class": "x",
         "team": "t0",
-        "kind": Kind.ARRAY,
+        "kind": JobKind.ARRAY,
         "priority": Priority.NORMAL,
         "tasks": 1,
-        "need": Resources(5, 1, 20),
+        "resources": Resources(5, 1, 20),
         "image": "img",
         "image_gb": 2.0,
         "types": None,
@@ -43,7 +43,7 @@
         "save": 0.0,
         "deadline": None,
     }
-    return Spec(**{**base, **fields})
+    return JobSpec(**{**base, **fields})
 
 
 class Desk:
@@ -51,15 +51,15 @@
 
     def __init__(self, machines=(("m1", "a", False),), page=50):
         self.job_table = JobTable(page)
-        self.fleet = Fleet(1.0, 10.0, 0.36, 0.0, TERM)
-        self.placer = Placer(self.job_table, self.fleet, TEAMS, {}, AIMS)
-        self.preemption = Preemption(self.placer)
+        self.inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, TERM)
+        self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, AIMS)
+        self.preemption = Preemption(self.scheduler)
         self.revision = 0
         for name, zone, spot in machines:
             self.up(name, zone, spot)
 
     def up(self, name, zone="a", spot=False, now=0.0):
-        return self.fleet.observe(report(name, zone=zone, spot=spot), BOX, now)
+        return self.inventory.observe(heartbeat(name, zone=zone, spot=spot), BOX, now)
 
     def job(self, number=1, at=0.0, **fields):
         self.revision += 1
@@ -74,16 +74,16 @@
 
     def refresh(self, now):
         """Every machine has just reported, and nothing runs there."""
-        for machine in self.fleet.machines.values():
+        for machine in self.inventory.machines.values():
             machine.heard, machine.used = now, NOTHING
 
     def run(self, now=0.0):
-        return [(attempt.job.spec.id, attempt.index, attempt.machine) for attempt in self.placer.run(now)]
+        return [(attempt.job.spec.id, attempt.index, attempt.machine) for attempt in self.scheduler.run(now)]
 
 
-def report(machine="m1", session=1, seq=1, token=TERM, tasks=(), zone="a", spot=False, notice=None):
-    return Report(machine, "box", zone, spot, session, seq, token, notice, list(tasks))
+def heartbeat(machine="m1", incarnation=1, sequence=1, token=TERM, tasks=(), zone="a", spot=False, notice=None):
+    return WorkerHeartbeat(machine, "box", zone, spot, incarnation, sequence, token, notice, list(tasks))
 
 
 def row(job="wk-1", index=0, attempt_number=1, state=TaskState.RUNNING, why="", saved=False):
-    return TaskReport(job, index, attempt_number, state, why, saved)
+    return TaskStatus(job, index, attempt_number, state, why, saved)
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -20,8 +20,8 @@
     decode_demand,
     encode_demand,
 )
-from passrock.core.aims import Objective
 from passrock.core.model import Team
+from passrock.core.objectives import Objective
 
 AIMS = (
     Objective("wait", "look", 20.0, 0.9),
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -91,16 +91,16 @@
             fields.update(volumes=2)
         await asyncio.sleep(20.0)
         for sim in world.nodes.values():
-            sim.node.market.types = {
-                name: msgspec.structs.replace(kind, zones=("a", "b")) for name, kind in sim.node.market.types.items()
+            sim.node.catalog.types = {
+                name: msgspec.structs.replace(kind, zones=("a", "b")) for name, kind in sim.node.catalog.types.items()
             }
         spec = world.job(LARGE, shelfmark="kept", precedence="low", **fields)
         world.spawn(submit(world, checker, spec))
         await asyncio.sleep(100.0)
         leader = world.nodes[await world.a_leader()].node
         outcomes = leader.admission._deciding is not None
-        waits = {wait.flow.job_class: wait for wait in leader.term.on_evaluated.__self__.waits}
-        return outcomes, waits["kept"].obstacle.value, leader.term.placer.favoured
+        waits = {wait.flow.job_class: wait for wait in leader.leader_term.on_evaluated.__self__.waits}
+        return outcomes, waits["kept"].obstacle.value, leader.term.scheduler.favoured
 
     outcomes, found, favoured = virtual_loop.run(main())
     assert outcomes and found == obstacle
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -6,9 +6,9 @@
 import pytest
 
 from passrock.core.cancellations import NEVER, Cancellations, PeerKnowledge, renewal_horizon, whole_until
-from passrock.io.peers import Heartbeat, PeerConnection, Peers, frame
+from passrock.io.peers import PeerConnection, PeerHeartbeat, Peers, frame
 
-ME = Heartbeat("n0", 1, False, False, True, run=7)
+ME = PeerHeartbeat("n0", 1, False, False, True, run=7)
 
 
 @pytest.mark.parametrize(
@@ -92,12 +92,14 @@
     peers = Peers([], lambda: ME, lambda heartbeat: None, known)
     got, taken = [], 0
     while taken < 250:
-        reply = peers.reply(Heartbeat("n1", 1, False, False, True, taken_run=7, taken=taken))
+        reply = peers.reply(PeerHeartbeat("n1", 1, False, False, True, taken_run=7, taken=taken))
         assert len(frame(reply)) < 16 * 1024
         got += reply.cancelled
         taken = reply.first + len(reply.cancelled)
     assert got == [f"wk-{number:018d}" for number in range(250)]
-    assert peers.reply(Heartbeat("n1", 1, False, False, True, taken_run=6, taken=250)).first == 0  # of a former life
+    assert (
+        peers.reply(PeerHeartbeat("n1", 1, False, False, True, taken_run=6, taken=250)).first == 0
+    )  # of a former life
 
 
 BAD = [
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -4,9 +4,9 @@
 
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.leadership import Leadership
-from passrock.controller.users import UnavailableError, Users
+from passrock.controller.user_api import UnavailableError, UserApi
 from passrock.core.cancellations import PeerKnowledge
-from passrock.core.placement import Placer
+from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from standins import virtual_loop
 from standins.scenes import (
@@ -34,23 +34,23 @@
 
 
 def takes_whatever_comes(monkeypatch):
-    monkeypatch.setattr("passrock.controller.users.fault", lambda spec, teams, types: None)
+    monkeypatch.setattr("passrock.controller.user_api.fault", lambda spec, teams, types: None)
 
 
 def forgets_to_place(monkeypatch):
-    run = Placer.run
-    monkeypatch.setattr(Placer, "run", lambda self, now: [] if now > 26.0 else run(self, now))
+    run = Scheduler.run
+    monkeypatch.setattr(Scheduler, "run", lambda self, now: [] if now > 26.0 else run(self, now))
 
 
 def leaves_a_question_unanswered(monkeypatch):
-    query = Users._query
+    query = UserApi._query
 
     async def _query(self, job_id):
         if job_id == "wk-000000" and monotonic_time() > 30.0:
             raise UnavailableError("as a test wants it")
         return await query(self, job_id)
 
-    monkeypatch.setattr(Users, "_query", _query)
+    monkeypatch.setattr(UserApi, "_query", _query)
 
 
 @pytest.mark.parametrize("trouble", ["teller crashes and is back at once", "teller loses its peers", "all restart"])
--- a/tests/test_checkins.py
+++ b/tests/test_checkins.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from passrock.core.checkin import Checkins
 from passrock.core.messages import Op, TaskState
-from passrock.core.model import Kind, Resources
+from passrock.core.model import JobKind, Resources
 from passrock.core.preemption import stop_softly
-from tables import BOX, TERM, Desk, report, row
+from passrock.core.reconciler import Reconciler
+from tables import BOX, TERM, Desk, heartbeat, row
 
 EXITED = TaskState.EXITED
 
@@ -17,54 +17,54 @@
     job = desk.job(**fields)
     desk.run()
     desk.commit()
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
-    commands = handle(desk, checkins, seq=2)
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
+    commands = handle(desk, reconciler, sequence=2)
     assert [c.op for c in commands] == [Op.START] * job.attempt_count
-    return desk, job, checkins
+    return desk, job, reconciler
 
 
-def handle(desk, checkins, now=1.0, launch=True, **fields):
-    told = report(**fields)
-    machine = desk.fleet.observe(told, BOX, now)
-    return [] if machine is None else checkins.handle(machine, told, now, launch)
+def handle(desk, reconciler, now=1.0, launch=True, **fields):
+    told = heartbeat(**fields)
+    machine = desk.inventory.observe(told, BOX, now)
+    return [] if machine is None else reconciler.handle(machine, told, now, launch)
 
 
 # What a report shows -> commands, and whether the attempt still counts as possibly there.
 REPORTS = [
-    ("running", {"seq": 3, "tasks": [row()]}, [], True),
-    ("not listed, later report: the launch was dropped, so again", {"seq": 3}, [Op.START], True),
-    ("an older report is nothing new", {"seq": 1}, [], True),
-    ("a later session has forgotten it", {"session": 2, "seq": 3}, [], False),
-    ("completed", {"seq": 3, "tasks": [row(state=EXITED, why="done")]}, [], False),
-    ("stopped", {"seq": 3, "tasks": [row(state=EXITED, why="stopped")]}, [], False),
-    ("another attempt runs there", {"seq": 3, "tasks": [row(attempt_number=9)]}, [Op.STOP, Op.START], True),
-    ("a job nobody knows", {"seq": 3, "tasks": [row(), row(job="wk-99")]}, [Op.STOP], True),
+    ("running", {"sequence": 3, "tasks": [row()]}, [], True),
+    ("not listed, later report: the launch was dropped, so again", {"sequence": 3}, [Op.START], True),
+    ("an older report is nothing new", {"sequence": 1}, [], True),
+    ("a later session has forgotten it", {"incarnation": 2, "sequence": 3}, [], False),
+    ("completed", {"sequence": 3, "tasks": [row(state=EXITED, why="done")]}, [], False),
+    ("stopped", {"sequence": 3, "tasks": [row(state=EXITED, why="stopped")]}, [], False),
+    ("another attempt runs there", {"sequence": 3, "tasks": [row(attempt_number=9)]}, [Op.STOP, Op.START], True),
+    ("a job nobody knows", {"sequence": 3, "tasks": [row(), row(job="wk-99")]}, [Op.STOP], True),
 ]
 
 
 @pytest.mark.parametrize(("name", "told", "ops", "there"), REPORTS, ids=[case[0] for case in REPORTS])
 def test_reports(name, told, ops, there):
-    desk, job, checkins = placed_desk()
-    assert [c.op for c in handle(desk, checkins, **told)] == ops
+    desk, job, reconciler = placed_desk()
+    assert [c.op for c in handle(desk, reconciler, **told)] == ops
     assert (job.attempt_count == 1) is there
 
 
 def test_absence_needs_a_report_of_this_term():
     """A held-back report of an older term proves nothing: a former leader may have launched after it."""
-    desk, job, checkins = placed_desk()
+    desk, job, reconciler = placed_desk()
     desk.job_table.cancel(job, 0.0)
-    handle(desk, checkins, seq=3, token=TERM - 1)
+    handle(desk, reconciler, sequence=3, token=TERM - 1)
     assert job.attempt_count == 1
-    handle(desk, checkins, seq=4, token=TERM)
+    handle(desk, reconciler, sequence=4, token=TERM)
     assert job.attempt_count == 0 and "wk-1" in desk.job_table.finalizing
 
 
 def test_exits_in_reports_of_older_terms():
     """A held-back exit may be of an attempt that was started again since; completion is final."""
     for why, there in (("alone", True), ("stopped", True), ("done", False)):
-        desk, job, checkins = placed_desk()
+        desk, job, reconciler = placed_desk()
         next(job.attempts()).stop_grace_s = 0.0
-        assert handle(desk, checkins, seq=3, token=TERM - 1, tasks=[row(state=EXITED, why=why)]) == []
+        assert handle(desk, reconciler, sequence=3, token=TERM - 1, tasks=[row(state=EXITED, why=why)]) == []
         assert (job.attempt_count == 1) is there
 
 
@@ -72,24 +72,24 @@
     desk = Desk()
     desk.job()
     desk.run()
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
-    assert handle(desk, checkins, seq=2) == []
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
+    assert handle(desk, reconciler, sequence=2) == []
     desk.commit()
-    assert handle(desk, checkins, seq=3, launch=False) == []
-    assert [c.op for c in handle(desk, checkins, seq=4)] == [Op.START]
+    assert handle(desk, reconciler, sequence=3, launch=False) == []
+    assert [c.op for c in handle(desk, reconciler, sequence=4)] == [Op.START]
 
 
 def test_forget_only_what_is_committed():
-    desk, _, checkins = placed_desk()
+    desk, _, reconciler = placed_desk()
     done = [row(state=EXITED, why="done")]
-    assert handle(desk, checkins, seq=3, tasks=done) == []
+    assert handle(desk, reconciler, sequence=3, tasks=done) == []
     desk.commit()
-    assert [c.op for c in handle(desk, checkins, seq=4, tasks=done)] == [Op.FORGET]
+    assert [c.op for c in handle(desk, reconciler, sequence=4, tasks=done)] == [Op.FORGET]
 
 
 def test_gang_ends_whole_and_starts_whole():
     desk = Desk([(f"m{i}", "a", False) for i in range(3)])
-    job = desk.job(kind=Kind.GANG, tasks=3, need=Resources(10, 2, 50))
+    job = desk.job(kind=JobKind.GANG, tasks=3, resources=Resources(10, 2, 50))
     assert len(desk.run()) == 3
     assert {attempt.number for attempt in job.attempts()} == {1}
     for attempt in job.attempts():
@@ -107,18 +107,18 @@
 
 def test_impatient_gang_task_waits_on():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    job = desk.job(kind=Kind.GANG, tasks=2, need=Resources(10, 2, 50))
+    job = desk.job(kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50))
     desk.run()
     desk.commit()
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
-    handle(desk, checkins, seq=2)
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
+    handle(desk, reconciler, sequence=2)
     index = next(attempt.index for attempt in job.attempts() if attempt.machine == "m1")
     alone = [row(index=index, state=EXITED, why="alone")]
-    assert [c.op for c in handle(desk, checkins, seq=3, tasks=alone)] == [Op.FORGET, Op.START]
+    assert [c.op for c in handle(desk, reconciler, sequence=3, tasks=alone)] == [Op.FORGET, Op.START]
     assert job.attempt_count == 2
     next(attempt for attempt in job.attempts() if attempt.machine == "m2").stop_grace_s = 0.0
     next(attempt for attempt in job.attempts() if attempt.machine == "m1").stop_grace_s = 0.0
-    assert [c.op for c in handle(desk, checkins, seq=4, tasks=alone)] == []
+    assert [c.op for c in handle(desk, reconciler, sequence=4, tasks=alone)] == []
     assert job.attempt_count == 0  # this one ended, and the other was never launched
 
 
@@ -136,14 +136,22 @@
 @pytest.mark.parametrize(("name", "told", "used"), HEARING, ids=[case[0] for case in HEARING])
 def test_only_machines_that_hear_are_used(name, told, used):
     desk = Desk([])
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
     desk.job()
-    for step, (session, seq, token, listed) in enumerate(told):
-        handle(desk, checkins, float(step), session=session, seq=seq, token=token, tasks=[row()] if listed else [])
-        desk.fleet.machines["m1"].answered = float(step)
+    for step, (incarnation, sequence, token, listed) in enumerate(told):
+        handle(
+            desk,
+            reconciler,
+            float(step),
+            incarnation=incarnation,
+            sequence=sequence,
+            token=token,
+            tasks=[row()] if listed else [],
+        )
+        desk.inventory.machines["m1"].answered = float(step)
         desk.run(float(step))
         desk.commit()
-    assert desk.fleet.usable(desk.fleet.machines["m1"], float(len(told))) is used
+    assert desk.inventory.usable(desk.inventory.machines["m1"], float(len(told))) is used
 
 
 @pytest.mark.parametrize(
@@ -160,63 +168,63 @@
 )
 def test_lease_evidence(answered, fenced, now, up, over):
     desk = Desk()
-    machine = desk.fleet.machines["m1"]
+    machine = desk.inventory.machines["m1"]
     machine.answered, machine.up = answered, up
-    assert desk.fleet.lease_expired(machine, now, fenced) is over
+    assert desk.inventory.lease_expired(machine, now, fenced) is over
 
 
 def test_faulty_machine_or_faulty_job():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
     job = desk.job()
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
-    for seq in (2, 4):
-        desk.refresh(float(seq))
-        desk.run(float(seq))
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
+    for sequence in (2, 4):
+        desk.refresh(float(sequence))
+        desk.run(float(sequence))
         desk.commit()
         attempt = next(job.attempts())
-        handle(desk, checkins, machine=attempt.machine, seq=seq, now=float(seq))
+        handle(desk, reconciler, machine=attempt.machine, sequence=sequence, now=float(sequence))
         failed = [row(attempt_number=attempt.number, state=EXITED, why="error")]
-        handle(desk, checkins, machine=attempt.machine, seq=seq + 1, now=float(seq), tasks=failed)
+        handle(desk, reconciler, machine=attempt.machine, sequence=sequence + 1, now=float(sequence), tasks=failed)
     assert job.avoid == {"m1", "m2"} and job.not_before > 4.0  # failed on both: the job waits longer and longer
-    assert all(machine.blocked_until > 4.0 for machine in desk.fleet.machines.values())
+    assert all(machine.blocked_until > 4.0 for machine in desk.inventory.machines.values())
 
 
-def fail_on(desk, checkins, job, machine, now):
+def fail_on(desk, reconciler, job, machine, now):
     """One of the job's tasks is started on a machine and fails there."""
-    attempt = desk.job_table.start(job, 0, desk.fleet.machines[machine], job.next_attempt_number(0), now)
+    attempt = desk.job_table.start(job, 0, desk.inventory.machines[machine], job.next_attempt_number(0), now)
     attempt.launch_sequence = 0
-    state = desk.fleet.machines[machine]
+    state = desk.inventory.machines[machine]
     failed = row(job.spec.id, 0, attempt.number, TaskState.EXITED, "error")
-    handle(desk, checkins, now, machine=machine, seq=state.seq + 1, tasks=[failed])
+    handle(desk, reconciler, now, machine=machine, sequence=state.sequence + 1, tasks=[failed])
 
 
 def test_a_faulty_job_is_told_from_a_faulty_machine():
     """Machines on which two jobs had failed were replaced, also where both jobs fail wherever they start."""
     desk = Desk([("m1", "a", False), ("m2", "a", False), ("m3", "a", False)])
-    checkins = Checkins(desk.job_table, desk.fleet, TERM)
+    reconciler = Reconciler(desk.job_table, desk.inventory, TERM)
     first, second, sound, other = (desk.job(number) for number in (1, 2, 3, 4))
     for now, machine in enumerate(("m1", "m2")):
-        fail_on(desk, checkins, first, machine, float(now))
+        fail_on(desk, reconciler, first, machine, float(now))
     assert first.is_suspect and first.not_before > 1.0  # it is tried again, later
-    blocked = desk.fleet.machines["m3"].blocked_until
-    fail_on(desk, checkins, first, "m3", 2.0)
-    assert desk.fleet.machines["m3"].blocked_until == blocked  # and blocks nothing any more
+    blocked = desk.inventory.machines["m3"].blocked_until
+    fail_on(desk, reconciler, first, "m3", 2.0)
+    assert desk.inventory.machines["m3"].blocked_until == blocked  # and blocks nothing any more
     for now, machine in enumerate(("m2", "m1"), start=3):
-        fail_on(desk, checkins, second, machine, float(now))
-    m1 = desk.fleet.machines["m1"]
+        fail_on(desk, reconciler, second, machine, float(now))
+    m1 = desk.inventory.machines["m1"]
     assert len(m1.failed_jobs) == 2 and desk.job_table.failures_against(m1) == 0
-    fail_on(desk, checkins, sound, "m1", 5.0)
-    fail_on(desk, checkins, other, "m1", 6.0)
+    fail_on(desk, reconciler, sound, "m1", 5.0)
+    fail_on(desk, reconciler, other, "m1", 6.0)
     assert desk.job_table.failures_against(m1) == 2
 
 
 def test_stops_save_when_there_is_something_to_save():
-    desk, job, checkins = placed_desk(checkpoint=5.0, save=3.0)
+    desk, job, reconciler = placed_desk(checkpoint=5.0, save=3.0)
     attempt = next(job.attempts())
-    handle(desk, checkins, seq=3, tasks=[row()])
+    handle(desk, reconciler, sequence=3, tasks=[row()])
     stop_softly(attempt, 6.0)
-    assert [(c.op, c.grace) for c in handle(desk, checkins, seq=4, tasks=[row()])] == [(Op.STOP, 6.0)]
+    assert [(c.op, c.grace) for c in handle(desk, reconciler, sequence=4, tasks=[row()])] == [(Op.STOP, 6.0)]
     saving = [row(state=TaskState.SAVING)]
-    assert handle(desk, checkins, seq=5, tasks=saving) == []  # a second stop would end the saving
+    assert handle(desk, reconciler, sequence=5, tasks=saving) == []  # a second stop would end the saving
     desk.job_table.cancel(job, 0.0)
-    assert [(c.op, c.grace) for c in handle(desk, checkins, seq=6, tasks=saving)] == [(Op.STOP, 0.0)]
+    assert [(c.op, c.grace) for c in handle(desk, reconciler, sequence=6, tasks=saving)] == [(Op.STOP, 0.0)]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,7 +8,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
-from passrock.core.fleet import DELETED_KEPT, Fleet
+from passrock.core.inventory import DELETED_KEPT, MachineInventory
 from passrock.io.http_server import Request
 from passrock.io.state import Refused
 from passrock.wire.state import Put
@@ -146,10 +146,10 @@
             spec = world.job(number, format="service", precedence="prod", loanS=0.0)
             world.spawn(world.user(spec, cancel_after=1e9))
         await asyncio.sleep(8.0)
-        placed = node.term.job_table.attempts_by_machine.get("host-999999")
+        placed = node.leader_term.job_table.attempts_by_machine.get("host-999999")
         await asyncio.sleep(30.0)
         again = node.handle(Request("POST", "/checkin", cbor2.dumps(ghost | {"accession": 10**6})))
-        return world, answer.status, placed, again.status, "host-999999" in node.term.fleet.machines
+        return world, answer.status, placed, again.status, "host-999999" in node.leader_term.inventory.machines
 
     world, first, placed, later, known = virtual_loop.run(main())
     assert (first, placed, later, known) == (200, None, 503, False)
@@ -265,7 +265,9 @@
 def test_a_leader_that_trusts_its_lead_after_standing_still_is_seen_to_lose_machines(monkeypatch):
     """The unsafe variant: it leads by what it remembers, and its own silence counts against the machines."""
     monkeypatch.setattr(Leadership, "holds_lease", lambda self: self.leading)
-    monkeypatch.setattr(Fleet, "began", property(lambda self: 0.0, lambda self, value: None), raising=False)
+    monkeypatch.setattr(
+        MachineInventory, "began", property(lambda self: 0.0, lambda self, value: None), raising=False
+    )
     lost = virtual_loop.run(stand_still(75, 25.0))[3]
     assert lost > 0
 
@@ -304,10 +306,10 @@
     for number in range(500):
         replica.note_final(f"wk-{number}", "done")
     assert len(replica.finals) == 50 and "wk-499" in replica.finals
-    fleet = Fleet(1.0, 10.0, 0.36, 0.0, 1)
+    inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, 1)
     for number in range(DELETED_KEPT + 500):
-        fleet.forget(f"host-{number:06d}", float(number))
-    assert len(fleet.deleted) == DELETED_KEPT and "host-000000" not in fleet.deleted
+        inventory.forget(f"host-{number:06d}", float(number))
+    assert len(inventory.deleted) == DELETED_KEPT and "host-000000" not in inventory.deleted
     heard = Cancellations(keep_s=60.0)
     for second in range(1000):
         heard.learn(f"wk-{second}", float(second))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -81,8 +81,14 @@
 
 
 def test_report():
-    report = workers.parse_report(cbor2.dumps(REPORT))
-    assert (report.machine, report.session, report.seq, report.token, report.notice) == ("host-1", 2, 88, 41, None)
+    report = workers.parse_heartbeat(cbor2.dumps(REPORT))
+    assert (report.machine, report.incarnation, report.sequence, report.token, report.notice) == (
+        "host-1",
+        2,
+        88,
+        41,
+        None,
+    )
     row = report.tasks[0]
     assert (row.job, row.index, row.attempt_number, row.state, row.why, row.saved) == (
         "wk-1",
@@ -115,7 +121,7 @@
 )
 def test_malformed_reports(change):
     with pytest.raises(MalformedBodyError):
-        workers.parse_report(cbor2.dumps({**REPORT, **change}))
+        workers.parse_heartbeat(cbor2.dumps({**REPORT, **change}))
 
 
 def test_answers_to_workers():
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -46,8 +46,8 @@
 async def quiet_minute():
     world = await quiet_fleet()
     leader = world.nodes[await world.a_leader()].node
-    placer = leader.term.placer
-    standings, requests = placer.guaranteed, []
+    scheduler = leader.leader_term.scheduler
+    standings, requests = scheduler.guaranteed, []
     handle = world.state.handle
 
     async def counted(method, path, body):
@@ -55,12 +55,12 @@
         return await handle(method, path, body)
 
     world.state.handle = counted
-    evaluations = leader.term.evaluations.count
+    evaluations = leader.leader_term.evaluations.count
     await asyncio.sleep(QUIET_S)
     assert (
-        leader.term.evaluations.count > evaluations and world.checker.starts >= 30
+        leader.leader_term.evaluations.count > evaluations and world.checker.starts >= 30
     )  # the minute was one of a leader with work placed
-    return requests, standings is placer.guaranteed
+    return requests, standings is scheduler.guaranteed
 
 
 def test_a_quiet_minute_writes_nothing_and_reckons_no_standings():
@@ -77,7 +77,7 @@
     body = worker.report()
     answer, calls = calls_of(leader.handle, Request("POST", "/checkin", body))
     assert isinstance(answer, Response) and answer.status == 200  # answered at once: nothing had changed
-    _, pass_calls = calls_of(leader.term.placer.run, leader.term.fleet.began + QUIET_S)
+    _, pass_calls = calls_of(leader.leader_term.scheduler.run, leader.leader_term.inventory.began + QUIET_S)
     return calls, pass_calls
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,7 +25,7 @@
     lost = workers[: round(len(workers) * cut_share)]
     began = world.now()
     world.cuts += [("link", (worker.name, old), began + 40.0) for worker in lost]
-    sessions = {worker.name: worker.session for worker in workers}
+    sessions = {worker.name: worker.incarnation for worker in workers}
     steps = {}
     terms = []
     while world.now() < began + 40.0:
@@ -36,12 +36,12 @@
         for node in leading:
             if node.settings.node != old:
                 steps.setdefault("leading", world.now() - began)
-                if node.term.ready:
+                if node.leader_term.ready:
                     steps.setdefault("loaded", world.now() - began)
         if all(worker.sent_ok > began for worker in workers):
             steps.setdefault("renewed", world.now() - began)
         terms = [sim.node.leadership.known_term for sim in world.nodes.values()]
-    ended = [worker.name for worker in workers if worker.session != sessions[worker.name]]
+    ended = [worker.name for worker in workers if worker.incarnation != sessions[worker.name]]
     return world, (old, world.leaders()), steps, ended, max(terms)
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -32,7 +32,7 @@
     async def main():
         world, leader = await settled(310)
         slow, third = others(world, leader)
-        users, read = world.nodes[slow].node.users, world.nodes[slow].node.state.get
+        users, read = world.nodes[slow].node.user_api, world.nodes[slow].node.state.get
 
         async def no_fence():
             return False
@@ -59,7 +59,7 @@
         world, _ = await settled(311)
         answers = []
         for sim in world.nodes.values():
-            sim.node.market.types = {"tiny": msgspec.structs.replace(sim.node.market.types["box"], size=NOTHING)}
+            sim.node.catalog.types = {"tiny": msgspec.structs.replace(sim.node.catalog.types["box"], size=NOTHING)}
         for number in (0, 99):
             spec = world.job(number, format="service", precedence="prod", loanS=0.0)
             answers.append((await world.ask("POST", "/v2/runs", cbor2.dumps(spec), 5.0))[0])
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import TaskState
-from passrock.core.model import NOTHING, Kind, Priority, Resources
+from passrock.core.model import NOTHING, JobKind, Priority, Resources
 from passrock.core.records import tasks_per_page
 from tables import BOX, Desk, spec
 
@@ -14,18 +14,18 @@
 # job fields, machines (name, zone, spot), tasks expected to be placed
 PLACES = [
     ({"tasks": 3}, [("m1", "a", False)], 2),
-    ({"tasks": 3, "kind": Kind.GANG}, [("m1", "a", False)], 0),
+    ({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0),
     ({"zone": "b"}, [("m1", "a", False)], 0),
     ({"types": ("other",)}, [("m1", "a", False)], 0),
     ({}, [("m1", "a", True)], 0),
     ({"spot": True}, [("m1", "a", True)], 1),
-    ({"tasks": 2, "kind": Kind.SERVICE, "spread": True}, [("m1", "a", False)], 1),
-    ({"tasks": 2, "kind": Kind.SERVICE, "spread": True}, [("m1", "a", False), ("m2", "b", False)], 2),
-    ({"tasks": 3, "kind": Kind.GANG, "one_zone": True}, [("m1", "a", False), ("m2", "b", False)], 0),
-    ({"tasks": 3, "kind": Kind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3),
+    ({"tasks": 2, "kind": JobKind.SERVICE, "spread": True}, [("m1", "a", False)], 1),
+    ({"tasks": 2, "kind": JobKind.SERVICE, "spread": True}, [("m1", "a", False), ("m2", "b", False)], 2),
+    ({"tasks": 3, "kind": JobKind.GANG, "one_zone": True}, [("m1", "a", False), ("m2", "b", False)], 0),
+    ({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3),
     ({"tasks": 3, "one_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2),
     ({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8),  # the team's limit
-    ({"tasks": 9, "kind": Kind.GANG}, [(f"m{i}", "a", False) for i in range(9)], 0),
+    ({"tasks": 9, "kind": JobKind.GANG}, [(f"m{i}", "a", False) for i in range(9)], 0),
 ]
 
 
@@ -39,15 +39,15 @@
 def test_strays_count_against_limits_and_their_task():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
     desk.job()
-    desk.fleet.machines["m2"].orphans = {("wk-1", 0): Resources(5, 1, 20)}
+    desk.inventory.machines["m2"].orphans = {("wk-1", 0): Resources(5, 1, 20)}
     assert desk.run() == []
-    desk.fleet.machines["m2"].orphans = {}
+    desk.inventory.machines["m2"].orphans = {}
     assert desk.run() == [("wk-1", 0, "m1")]
 
 
 def test_images_and_packing_decide():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    desk.fleet.machines["m2"].images["img"] = 2.0
+    desk.inventory.machines["m2"].images["img"] = 2.0
     desk.job(1, image_gb=20.0)
     assert desk.run() == [("wk-1", 0, "m2")]
     desk.job(2, image="other", team="t1")
@@ -62,14 +62,14 @@
         ({"job_class": "none"}, 5.0, "cheap"),
         ({"job_class": "none"}, 60.0, "dear"),  # no aim, but it has waited for longer than keep_after
         ({"job_class": "soon"}, 15.0, "dear"),
-        ({"job_class": "late", "kind": Kind.GANG}, 5.0, "dear"),
+        ({"job_class": "late", "kind": JobKind.GANG}, 5.0, "dear"),
     ],
 )
 def test_patient_arrays_leave_dear_machines(fields, now, machine):
     """They took ordinary machines for minutes, and gangs that may use no others waited beside cheap room."""
     desk = Desk([("dear", "a", False), ("cheap", "a", True)])
     if machine == "dear" or now:
-        desk.fleet.machines["cheap"].notice_until = 1.0
+        desk.inventory.machines["cheap"].notice_until = 1.0
     desk.job(1, spot=True, **fields)
     desk.refresh(now)
     placed = [name for _, _, name in desk.run(now)]
@@ -79,19 +79,19 @@
 def test_replicas_share_machines():
     """One to a machine, they stranded half of each for as long as they ran."""
     desk = Desk([(f"m{i}", "a", False) for i in range(4)])
-    desk.job(1, kind=Kind.SERVICE, tasks=4, priority=Priority.PRODUCTION)
+    desk.job(1, kind=JobKind.SERVICE, tasks=4, priority=Priority.PRODUCTION)
     assert len({machine for _, _, machine in desk.run()}) == 2
 
 
 def test_a_fetch_under_way_is_left_alone():
     """Two images on one machine share its rate: the second made the first one's task late."""
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    desk.fleet.machines["m2"].images["old"] = 1.0
+    desk.inventory.machines["m2"].images["old"] = 1.0
     desk.job(1, image="one", image_gb=20.0)
     assert desk.run() == [("wk-1", 0, "m1")]
     desk.job(2, image="two", image_gb=20.0, team="t1")
     assert desk.run() == [("wk-2", 0, "m2")]
-    assert desk.fleet.machines["m1"].fetch_harm(spec(3, image="one")) == 0.0
+    assert desk.inventory.machines["m1"].fetch_harm(spec(3, image="one")) == 0.0
 
 
 def test_an_aim_that_the_fetch_would_miss_does_not_count():
@@ -104,8 +104,8 @@
     ):  # at 1 GB a second, with 30 s from the submission to the start
         desk.job(number, team="t1", tasks=6, job_class="soon", image_gb=gb, at=0.1 * number)
     desk.run(0.4)
-    desk.placer.find_guaranteed()
-    assert [job.spec.id for job in desk.placer.queue(0.5)] == ["wk-3", "wk-1", "wk-2"]
+    desk.scheduler.find_guaranteed()
+    assert [job.spec.id for job in desk.scheduler.queue(0.5)] == ["wk-3", "wk-1", "wk-2"]
 
 
 def test_queue_order():
@@ -114,24 +114,24 @@
     desk.job(2, job_class="late", at=1.0)
     desk.job(3, job_class="soon", at=2.0)
     desk.job(4, priority=Priority.PRODUCTION, at=3.0)
-    desk.placer.find_guaranteed()
-    assert [job.spec.id for job in desk.placer.queue(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
+    desk.scheduler.find_guaranteed()
+    assert [job.spec.id for job in desk.scheduler.queue(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
 
 
 def test_room_is_kept_for_a_gang_that_has_waited_long():
     """Small tasks took each machine as it came free, and the gang never saw two at once."""
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    small = [desk.job(n, team="t1", need=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
+    small = [desk.job(n, team="t1", resources=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
     assert len(desk.run(0.0)) == 2
-    desk.job(9, kind=Kind.GANG, tasks=2, need=Resources(10, 2, 50), one_zone=True, at=1.0)
+    desk.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), one_zone=True, at=1.0)
     for turn in range(3, 9):  # one small task ends at a time, and another one waits
         now = 10.0 * turn
         desk.refresh(now)
-        for name, machine in desk.fleet.machines.items():
+        for name, machine in desk.inventory.machines.items():
             machine.used = BOX.size if desk.job_table.attempts_by_machine.get(name) else NOTHING
         desk.job_table.attempt_completed(next(small.pop(0).attempts()))
-        small.append(desk.job(turn, team="t1", need=Resources(10, 2, 50), job_class="soon", at=now))
-        for name, machine in desk.fleet.machines.items():
+        small.append(desk.job(turn, team="t1", resources=Resources(10, 2, 50), job_class="soon", at=now))
+        for name, machine in desk.inventory.machines.items():
             machine.used = BOX.size if desk.job_table.attempts_by_machine.get(name) else NOTHING
         if {job for job, _, _ in desk.run(now)} == {"wk-9"}:
             break
@@ -144,7 +144,7 @@
     job_table = JobTable(size)
     job = job_table.load(new_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
     desk = Desk()
-    machine = desk.fleet.machines["m1"]
+    machine = desk.inventory.machines["m1"]
     for index in job.next_waiting(3 * size):
         job_table.start(job, index, machine, job.next_attempt_number(index), 0.0)
     job.advance()
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -3,7 +3,7 @@
 import pytest
 
 from passrock.core.messages import TaskState
-from passrock.core.model import Kind, Priority, Resources, Team
+from passrock.core.model import JobKind, Priority, Resources, Team
 from passrock.core.preemption import stop_softly
 from tables import BOX, TEAMS, Desk
 
@@ -22,17 +22,17 @@
 )
 def test_preemption_has_reasons(victim, job, displaced):
     desk = Desk()
-    desk.job(1, need=Resources(5, 1, 20), **victim)
+    desk.job(1, resources=Resources(5, 1, 20), **victim)
     desk.run()
-    waiting = desk.job(2, at=1.0, **{"need": Resources(5, 1, 20), "job_class": "now", **job})
+    waiting = desk.job(2, at=1.0, **{"resources": Resources(5, 1, 20), "job_class": "now", **job})
     desk.job(
-        3, at=0.5, team="t1", need=Resources(5, 1, 20), tasks=1, priority=victim.get("priority", Priority.NORMAL)
+        3, at=0.5, team="t1", resources=Resources(5, 1, 20), tasks=1, priority=victim.get("priority", Priority.NORMAL)
     )
     desk.run(1.0)
     if waiting.attempt_count:
         desk.job_table.attempt_lost(next(waiting.attempts()), 1.0)
-    desk.fleet.machines["m1"].used = BOX.size
-    desk.placer.run(1.0)
+    desk.inventory.machines["m1"].used = BOX.size
+    desk.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
         assert not desk.preemption.make_room(waiting, 1.0)  # a start that does not count yet is not taken back
         for attempt in desk.job_table.attempts_by_machine["m1"].values():
@@ -43,7 +43,9 @@
 def test_a_displaced_gang_is_stopped_whole():
     """Every mate is told to stop with time to save, also those on machines that nobody asked for."""
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    gang = desk.job(1, kind=Kind.GANG, tasks=2, need=Resources(10, 2, 50), team="t1", checkpoint=5.0, save=3.0)
+    gang = desk.job(
+        1, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), team="t1", checkpoint=5.0, save=3.0
+    )
     desk.run()
     for attempt in gang.attempts():
         attempt.state, attempt.reported = TaskState.RUNNING, True
@@ -58,11 +60,11 @@
 
 
 ELASTIC = [
-    ("low-priority work without a guarantee", "guest", Priority.LOW, Kind.GANG, 1, True),
-    ("a guarantee stands behind it", "t1", Priority.LOW, Kind.GANG, 1, False),
-    ("it is more than idle-time work", "guest", Priority.NORMAL, Kind.GANG, 1, False),
-    ("the job is beyond its own guarantee", "guest", Priority.LOW, Kind.GANG, 3, False),
-    ("an array starts task by task anyway", "guest", Priority.LOW, Kind.ARRAY, 1, False),
+    ("low-priority work without a guarantee", "guest", Priority.LOW, JobKind.GANG, 1, True),
+    ("a guarantee stands behind it", "t1", Priority.LOW, JobKind.GANG, 1, False),
+    ("it is more than idle-time work", "guest", Priority.NORMAL, JobKind.GANG, 1, False),
+    ("the job is beyond its own guarantee", "guest", Priority.LOW, JobKind.GANG, 3, False),
+    ("an array starts task by task anyway", "guest", Priority.LOW, JobKind.ARRAY, 1, False),
 ]
 
 
@@ -72,11 +74,13 @@
 def test_elastic_work_is_revoked_at_once(name, team, priority, kind, tasks, revoked):
     """Guaranteed gangs waited for a minute beside machines full of work of a team without a guarantee."""
     desk = Desk([(f"m{n}", "a", False) for n in range(tasks)])
-    desk.placer.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
-    desk.job(1, team=team, priority=priority, tasks=4 * tasks, need=Resources(4, 0, 10), checkpoint=30.0, save=3.0)
+    desk.scheduler.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
+    desk.job(
+        1, team=team, priority=priority, tasks=4 * tasks, resources=Resources(4, 0, 10), checkpoint=30.0, save=3.0
+    )
     desk.run()
     gang = desk.job(
-        2, at=1.0, kind=kind, tasks=tasks, need=Resources(14, 2, 50), priority=Priority.HIGH, job_class="late"
+        2, at=1.0, kind=kind, tasks=tasks, resources=Resources(14, 2, 50), priority=Priority.HIGH, job_class="late"
     )
     assert desk.run(1.0) == []
     victims = desk.preemption.make_room(gang, 1.0, early=True)
@@ -86,10 +90,10 @@
 
 def test_elastic_work_is_left_alone_when_its_room_is_not_enough():
     desk = Desk([("m1", "a", False), ("m2", "a", False)])
-    desk.placer.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
-    desk.job(1, team="t1", priority=Priority.HIGH, tasks=1, need=Resources(16, 2, 60))
+    desk.scheduler.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
+    desk.job(1, team="t1", priority=Priority.HIGH, tasks=1, resources=Resources(16, 2, 60))
     desk.run()
-    desk.job(2, team="guest", priority=Priority.LOW, tasks=4, need=Resources(4, 0, 10))
+    desk.job(2, team="guest", priority=Priority.LOW, tasks=4, resources=Resources(4, 0, 10))
     desk.run()
-    gang = desk.job(3, at=1.0, kind=Kind.GANG, tasks=2, need=Resources(14, 2, 50), priority=Priority.HIGH)
+    gang = desk.job(3, at=1.0, kind=JobKind.GANG, tasks=2, resources=Resources(14, 2, 50), priority=Priority.HIGH)
     assert desk.run(1.0) == [] and desk.preemption.make_room(gang, 1.0) == []
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -23,14 +23,14 @@
     assert msgspec.json.encode(new_record(spec, 12.5)) == JOB
 
     desk = Desk()
-    machine = desk.fleet.machines["m1"]
+    machine = desk.inventory.machines["m1"]
     job = desk.job_table.load(msgspec.json.decode(JOB), 7, 100.0, 20.0)
     desk.job_table.start(job, 1, machine, 4, 0.0)
     desk.job_table.attempt_completed(next(job.attempts()))
     desk.job_table.start(job, 2, machine, 5, 0.0)
     assert msgspec.json.encode(job.page(0).encode()) == TASK_PAGE
     machine.images["img"] = 2.0
-    assert msgspec.json.encode(desk.fleet.encode_hints(4)) == HINTS
+    assert msgspec.json.encode(desk.inventory.encode_hints(4)) == HINTS
 
 
 def test_records_of_older_sources_are_read():
@@ -38,12 +38,12 @@
     job = desk.job_table.load({**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}, 7, 100.0, 20.0)
     attempt = next(job.attempts())
     assert (job.spec.id, job.spec.deadline, job.submitted, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
-    assert (attempt.index, attempt.number, attempt.machine, attempt.session, attempt.placed_this_term) == (
+    assert (attempt.index, attempt.number, attempt.machine, attempt.incarnation, attempt.placed_this_term) == (
         2,
         5,
         "m1",
         1,
         False,
     )
-    desk.fleet.load_hints(msgspec.json.decode(HINTS)[0])
-    assert desk.fleet.hints == {"m1": {"img": 2.0}}
+    desk.inventory.load_hints(msgspec.json.decode(HINTS)[0])
+    assert desk.inventory.hints == {"m1": {"img": 2.0}}
--- a/tests/test_renting_and_admission.py
+++ b/tests/test_renting_and_admission.py
@@ -5,8 +5,8 @@
 from passrock.core.budget import Budget
 from passrock.core.limiter import Limiter
 from passrock.core.messages import TaskState
-from passrock.core.model import Kind, Resources, Team
-from passrock.core.renting import Market, Offer, plan_rentals, plan_returns
+from passrock.core.model import JobKind, Resources, Team
+from passrock.core.scaling import MachineCatalog, Offer, plan_scale_in, plan_scale_out
 from passrock.core.submission_checks import fault
 from tables import AIMS, BOX, TEAMS, Desk, spec
 
@@ -17,7 +17,7 @@
 RENTALS = [
     ([{"tasks": 3}], {Offer("box", "a", False): 2}),
     ([{"tasks": 3, "spot": True}], {Offer("box", "a", True): 2}),
-    ([{"tasks": 3, "kind": Kind.GANG, "one_zone": True}], {Offer("box", "a", False): 2}),
+    ([{"tasks": 3, "kind": JobKind.GANG, "one_zone": True}], {Offer("box", "a", False): 2}),
     ([{"tasks": 20}], {Offer("box", "a", False): 4}),  # up to the team's limit
     ([{"zone": "b"}], {Offer("box", "b", False): 1}),
 ]
@@ -28,13 +28,13 @@
     desk = Desk([])
     for number, fields in enumerate(jobs):
         desk.job(number, **fields)
-    queue = desk.placer.queue(0.0)
-    market = Market({"box": BOX})
-    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == wanted
+    queue = desk.scheduler.queue(0.0)
+    catalog = MachineCatalog({"box": BOX})
+    assert plan_scale_out(queue, desk.job_table, desk.inventory, TEAMS, catalog, AIMS, 0.0) == wanted
     for offer in wanted:  # machines on their way are enough
         for i in range(wanted[offer]):
-            desk.fleet.add(f"new{i}", BOX, offer.zone, offer.spot, 0.0)
-    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
+            desk.inventory.add(f"new{i}", BOX, offer.zone, offer.spot, 0.0)
+    assert plan_scale_out(queue, desk.job_table, desk.inventory, TEAMS, catalog, AIMS, 0.0) == {}
 
 
 @pytest.mark.parametrize(
@@ -48,26 +48,28 @@
 )
 def test_short_tasks_share_places(tasks, estimate, machines):
     desk = Desk([])
-    desk.job(tasks=tasks, estimate=estimate, need=Resources(0.25, 0, 1.0), spot=True, team="free")
+    desk.job(tasks=tasks, estimate=estimate, resources=Resources(0.25, 0, 1.0), spot=True, team="free")
     teams = {"free": Team("free", 0, 0, 0, 0)}
-    market = Market({"box": BOX})
-    wanted = plan_rentals(list(desk.job_table.jobs.values()), desk.job_table, desk.fleet, teams, market, AIMS, 0.0)
+    catalog = MachineCatalog({"box": BOX})
+    wanted = plan_scale_out(
+        list(desk.job_table.jobs.values()), desk.job_table, desk.inventory, teams, catalog, AIMS, 0.0
+    )
     assert sum(wanted.values()) == machines
 
 
 def test_refused_offers_rest_and_dear_ones_wait_until_needed():
     desk = Desk([])
     desk.job(1, spot=True, job_class="late")
-    market = Market({"box": BOX})
+    catalog = MachineCatalog({"box": BOX})
     for zone in BOX.zones:
-        market.refuse(Offer("box", zone, True), 50.0)
-    queue = desk.placer.queue(0.0)
-    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 0.0) == {}
-    late = plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 285.0)
+        catalog.refuse(Offer("box", zone, True), 50.0)
+    queue = desk.scheduler.queue(0.0)
+    assert plan_scale_out(queue, desk.job_table, desk.inventory, TEAMS, catalog, AIMS, 0.0) == {}
+    late = plan_scale_out(queue, desk.job_table, desk.inventory, TEAMS, catalog, AIMS, 285.0)
     assert late == {Offer("box", "a", True): 1}  # no longer refused by then
     for zone in BOX.zones:
-        market.refuse(Offer("box", zone, True), 500.0)
-    assert plan_rentals(queue, desk.job_table, desk.fleet, TEAMS, market, AIMS, 285.0) == {
+        catalog.refuse(Offer("box", zone, True), 500.0)
+    assert plan_scale_out(queue, desk.job_table, desk.inventory, TEAMS, catalog, AIMS, 285.0) == {
         Offer("box", "a", False): 1
     }
 
@@ -76,12 +78,12 @@
     desk = Desk([("m1", "a", False), ("m2", "a", True), ("m3", "a", False)])
     desk.job()
     desk.run()
-    for machine in desk.fleet.machines.values():
+    for machine in desk.inventory.machines.values():
         machine.since = -100.0
     patience = {"box": 10.0}
-    going = [m.name for m in plan_returns(desk.fleet, desk.job_table, patience, 12.0)]
+    going = [m.name for m in plan_scale_in(desk.inventory, desk.job_table, patience, 12.0)]
     assert len(going) == 1 and going[0] in ("m1", "m3")  # the busy one and the cheap one stay
-    assert len(plan_returns(desk.fleet, desk.job_table, patience, 40.0)) == 2
+    assert len(plan_scale_in(desk.inventory, desk.job_table, patience, 40.0)) == 2
 
 
 @pytest.mark.parametrize(
@@ -89,13 +91,13 @@
     [
         ({}, False),
         ({"team": "nobody"}, True),
-        ({"need": Resources(17, 1, 1)}, True),
+        ({"resources": Resources(17, 1, 1)}, True),
         ({"types": ("other",)}, True),
         ({"zone": "z"}, True),
         ({"tasks": 100}, False),
-        ({"tasks": 9, "kind": Kind.GANG}, True),
-        ({"tasks": 9, "kind": Kind.SERVICE}, True),
-        ({"tasks": 8, "kind": Kind.GANG}, False),
+        ({"tasks": 9, "kind": JobKind.GANG}, True),
+        ({"tasks": 9, "kind": JobKind.SERVICE}, True),
+        ({"tasks": 8, "kind": JobKind.GANG}, False),
     ],
 )
 def test_jobs_that_can_never_run(fields, refused):
--- a/tests/test_reservation.py
+++ b/tests/test_reservation.py
@@ -92,6 +92,6 @@
             looked += name == "size"
             return super().__getattribute__(name)
 
-    fleet = [Counted(f"m{number:04d}", "abc"[number % 3], 1.0, number % 2 == 0) for number in range(1000)]
-    result = bind(fleet, [Claim(f"t{n}", 100.0, 50.0, 60.0) for n in range(10)], {}, ZONES, 0.1)
-    assert len(result.owner) == 1000 and looked < 50 * len(fleet)
+    inventory = [Counted(f"m{number:04d}", "abc"[number % 3], 1.0, number % 2 == 0) for number in range(1000)]
+    result = bind(inventory, [Claim(f"t{n}", 100.0, 50.0, 60.0) for n in range(10)], {}, ZONES, 0.1)
+    assert len(result.owner) == 1000 and looked < 50 * len(inventory)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -5,8 +5,8 @@
 import cbor2
 import pytest
 
-from passrock.core.checkin import Checkins
-from passrock.core.fleet import Fleet
+from passrock.core.inventory import MachineInventory
+from passrock.core.reconciler import Reconciler
 from passrock.io.http_server import Request, Response
 from standins import virtual_loop
 from standins.world import World
@@ -73,7 +73,7 @@
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
     """A scheduler that takes silence for loss starts tasks twice, and the checker says so."""
-    monkeypatch.setattr(Fleet, "lease_over", lambda self, machine, now, fenced: now - machine.heard > 2.0)
+    monkeypatch.setattr(MachineInventory, "lease_over", lambda self, machine, now, fenced: now - machine.heard > 2.0)
     rules = {rule for seed in range(50, 56) for _, rule, _ in play(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
 
@@ -84,19 +84,19 @@
     def shown(self, machine, now, fenced):
         return fenced is not None and machine.up and now - max(machine.up_since, fenced) > self.lease_s
 
-    monkeypatch.setattr(Fleet, "lease_over", shown)
+    monkeypatch.setattr(MachineInventory, "lease_over", shown)
     days = (play(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
 def test_checker_catches_copies_taken_for_news(monkeypatch):
     """A leader that believes any report, however old, starts tasks twice when late copies come."""
-    observe, handle = Fleet.observe, Checkins.handle
+    observe, handle = MachineInventory.observe, Reconciler.handle
 
     def believe(self, report, kind, now):
         machine = self.machines.get(report.machine)
-        if machine is not None and (report.session, report.seq) <= (machine.session, machine.seq):
-            machine.session, machine.seq = report.session, report.seq - 1
+        if machine is not None and (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence):
+            machine.incarnation, machine.sequence = report.incarnation, report.sequence - 1
         return observe(self, report, kind, now)
 
     def settle(self, machine, report, now, launch):
@@ -104,8 +104,8 @@
             attempt.launch_sequence = None if attempt.launch_sequence is None else -1
         return handle(self, machine, report, now, launch)
 
-    monkeypatch.setattr(Fleet, "observe", believe)
-    monkeypatch.setattr(Checkins, "handle", settle)
+    monkeypatch.setattr(MachineInventory, "observe", believe)
+    monkeypatch.setattr(Reconciler, "handle", settle)
     days = (play(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
@@ -170,7 +170,7 @@
         world = World(10)
         await asyncio.sleep(5.0)
         node = world.nodes["n0"].node
-        for limiter in (node.users.questions, node.users.changes):
+        for limiter in (node.user_api.read_limiter, node.user_api.write_limiter):
             limiter.busy = int(limiter.limit)
         good = world.job(1)
         cases = [
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -64,8 +64,8 @@
     async def main():
         world = World(401)
         await world.a_leader()
-        users = world.nodes["n0"].node.users
-        users.questions.busy = int(users.questions.limit)
+        users = world.nodes["n0"].node.user_api
+        users.read_limiter.busy = int(users.read_limiter.limit)
         answers = []
         for request in (
             Request("GET", "/v2/runs/wk-000001", b""),
@@ -95,7 +95,7 @@
         for number in range(1, 13):
             took.append(await submit(world, leader, number))
             await asyncio.sleep(0.5)
-        backlog = len(world.nodes[leader].node.term.job_table.jobs)
+        backlog = len(world.nodes[leader].node.leader_term.job_table.jobs)
         await asyncio.sleep(60.0)
         return took, backlog, world
 
