--- a/src/passrock/admission/controller/allocation_store.py
+++ b/src/passrock/admission/controller/allocation_store.py
@@ -61,7 +61,7 @@
             if allocation.slot != slot:
                 raise UnreadableAllocationError(f"it is that of slot {allocation.slot}")
         except UnreadableAllocationError as problem:
-            error("allocation_unreadable", key=head.key, problem=problem)
+            error("allocation_unreadable", key=head.key, error=problem)
             return
         self._open(allocation, head.mod_revision, len(pages))
 
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -68,9 +68,9 @@
                 try:
                     await self.decide(slot)
                 except StateError as problem:
-                    debug("allocation_failed", slot=slot, problem=problem)
+                    debug("allocation_failed", slot=slot, error=problem)
                 except Exception as problem:  # admission must never end the term of a leader that can place
-                    error("allocation_failed", slot=slot, problem=repr(problem))
+                    error("allocation_failed", slot=slot, error=repr(problem))
             await asyncio.sleep(self.clock.length_s / TICKS)
 
     def due(self) -> int | None:
@@ -113,7 +113,7 @@
         if isinstance(result, Committed):
             self.store.put(allocation, result.revision, len(pages))
         else:
-            debug("allocation_refused", slot=slot, failed=result.failed)
+            debug("allocation_conflict", slot=slot, failed=result.failed)
 
     def _allocate(self, slot: int, latest: Stored | None, over: list[Stored]) -> Allocation:
         """What the controllers may admit in a slot, with the service that flows have received."""
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -156,7 +156,7 @@
             now = monotonic_time()
             if now - self._complained_at >= COMPLAIN_EVERY_S:
                 self._complained_at = now
-                info("demand_malformed", node=node, problem=problem)
+                info("demand_report_malformed", node=node, error=problem)
             return
         self.demand.take(report, self.leadership.known_term, monotonic_time())
 
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -62,7 +62,12 @@
             if job_id in scheduler.favoured and job_id not in self._protected:
                 self._protected[job_id] = today + self.protect_s
                 scheduler.protected |= {job_id}
-                info("favoured_placed", job=job_id, team=attempt.job.spec.team, of=attempt.job.spec.job_class)
+                info(
+                    "prioritized_job_placed",
+                    job=job_id,
+                    team=attempt.job.spec.team,
+                    job_class=attempt.job.spec.job_class,
+                )
 
     def _note_starts(self, today: float) -> None:
         """Count a start once the task runs: one that was refused, or lost before, serves nobody."""
@@ -105,7 +110,11 @@
             if wait.oldest not in before:
                 waited = round(today - wait.since)
                 info(
-                    "class_waits_long", team=wait.flow.team, of=wait.flow.job_class, job=wait.oldest, waited_s=waited
+                    "class_prioritized",
+                    team=wait.flow.team,
+                    job_class=wait.flow.job_class,
+                    job=wait.oldest,
+                    waited_s=waited,
                 )
 
     def _tell_starved(self, today: float) -> None:
@@ -116,5 +125,12 @@
             waited = round(today - wait.since)
             starved = wait.obstacle is Obstacle.OTHERS and self.watch.others_served_since(flow, wait.since)
             tell, name = (error, "class_starved") if starved else (info, "class_unserved")
-            tell(name, team=flow.team, of=flow.job_class, waited_s=waited, jobs=wait.jobs, why=wait.obstacle.value)
+            tell(
+                name,
+                team=flow.team,
+                job_class=flow.job_class,
+                waited_s=waited,
+                jobs=wait.jobs,
+                reason=wait.obstacle.value,
+            )
         self._starved = set(late)
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -119,7 +119,7 @@
             for old in log_files(self.directory)[:-FILES]:
                 os.unlink(old)
         except Exception as problem:  # the log must never harm what it tells of
-            error("decision_log_failed", problem=repr(problem))
+            error("decision_log_failed", error=repr(problem))
 
     def _current(self) -> str:
         path = self._path()
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -66,7 +66,7 @@
             if not machine.spot and zone_gap(production, room, self.settings.zones) > 0:
                 room[machine.zone] += machine.type.size.gpus  # part of the buffer for a lost zone
                 continue
-            info("machine_return", machine=machine.name)
+            info("machine_scaled_in", machine=machine.name)
             self.provisioner.delete(machine)
 
     def _broken_gangs(self) -> bool:
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -93,7 +93,7 @@
             hints = self.inventory.encode_hints(max(1, self.settings.value_bytes // HINT_BYTES))
             writes.update({f"{keys.HINT}{i}": record for i, record in enumerate(hints)})
         changed = {key: value for key, value in writes.items() if value != self._recorded.get(key)}
-        info("round", short=len(result.short), changed=len(changed), **self._census())
+        info("binding_round_completed", short=len(result.short), changed=len(changed), **self._census())
         if changed:
             self.stop()  # this round's records stand for those not yet written
             self._recording = asyncio.ensure_future(self._record(changed))
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -145,7 +145,7 @@
             self.orphaned_keys += batch.orphaned_keys
             return await self._reread(batch)
         except StateError as problem:
-            debug("commit_failed", problem=problem)
+            debug("commit_failed", error=problem)
             self.orphaned_keys += batch.orphaned_keys
             return False
         if isinstance(result, Committed):
@@ -166,7 +166,7 @@
         return await self._reread(batch)
 
     def _ended(self, job: Job, status: str) -> None:
-        info("job_over", job=job.spec.id, status=status)
+        info("job_finalized", job=job.spec.id, status=status)
         job.final = status
         self.removed.add(job.spec.id)
         self.orphaned_keys += [
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -65,7 +65,7 @@
         if len(deaf) * 2 > len(up) + 2:
             return
         for machine in deaf:
-            info("machine_deaf", machine=machine.name, unheeded=machine.unheeded)
+            info("machine_unreachable_inbound", machine=machine.name, unacknowledged_answers=machine.unheeded)
             self.provisioner.delete(machine)
 
     def _end_lease(self, machine: Machine, now: float) -> None:
@@ -76,7 +76,7 @@
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
-            info("lease_over", machine=machine.name, tasks=lost)
+            info("worker_lease_expired", machine=machine.name, tasks=lost)
 
     def _release(self, machine: Machine) -> None:
         """Give back a machine that is taken soon and is empty; empty a faulty one, and give it back then."""
@@ -89,7 +89,7 @@
         failures = self.job_table.failures_against(machine) if machine.failed_jobs else 0
         if failures <= 1:
             return
-        info("machine_faulty", machine=machine.name, jobs=failures)
+        info("machine_cordoned", machine=machine.name, jobs=failures)
         drain(self.job_table, machine.name)
         if machine.name not in self.job_table.attempts_by_machine:
             self.provisioner.delete(machine)
@@ -98,7 +98,7 @@
         """Machines that should have come up long ago are charged for nothing."""
         for machine in list(self.inventory.machines.values()):
             if self.inventory.late(machine, now):
-                info("machine_late", machine=machine.name, age=round(now - machine.since))
+                info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.since))
                 self.provisioner.delete(machine)
 
     def _resolve_unlisted(self) -> None:
@@ -124,7 +124,7 @@
                 if machine is None or machine.deleting or not self.inventory.silent(machine, now):
                     continue
                 info(
-                    "cancelled_task_silent",
+                    "cancelled_task_unreachable",
                     machine=machine.name,
                     job=job.spec.id,
                     after_s=round(now - job.cancelled_at, 1),
@@ -154,7 +154,7 @@
                 if missing > limit / 2 and quiet < inventory.silent_s + self.settings.report_s:
                     continue  # may be the first ones of a crowd
                 if machine.name in self.job_table.attempts_by_machine or now - machine.heard > self.settings.lease_s:
-                    info("machine_silent", machine=machine.name, for_s=round(now - machine.heard, 1))
+                    info("machine_heartbeat_missed", machine=machine.name, for_s=round(now - machine.heard, 1))
                     self.given_up.append(now)
                     self.provisioner.delete(machine)
         return False
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -72,7 +72,7 @@
             drain(self.job_table, machine.name)
         if machine.confirmed and not was_usable:
             self.rounds.bring_forward()
-            info("machine_up", machine=machine.name, zone=machine.zone, spot=machine.spot)
+            info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
             self.evaluations.request()
         attempts = self.job_table.attempts_by_machine.get(machine.name)
         if self.reconciler.changed or (
@@ -85,11 +85,16 @@
     def _log_changes(self, machine: Machine, now: float) -> None:
         for attempt in self.reconciler.begun:
             after = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
-            info("task_runs", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
+            info("task_started", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
         for attempt, why in self.reconciler.exits:
             job = attempt.job.spec.id
             info(
-                "task_end", job=job, task=attempt.index, attempt_number=attempt.number, machine=machine.name, why=why
+                "task_exited",
+                job=job,
+                task=attempt.index,
+                attempt=attempt.number,
+                machine=machine.name,
+                reason=why,
             )
 
     async def _with_launches(
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -123,7 +123,7 @@
         except asyncio.CancelledError:
             raise
         except Exception as problem:  # a term that can't go on must not pretend to lead
-            error("term_failed", problem=repr(problem))
+            error("leader_term_failed", error=repr(problem))
             self.leadership.step_down("internal failure")
             raise
 
@@ -150,7 +150,7 @@
         self.replica.listeners.append(self._listen)
         self.ready = True
         info(
-            "term_ready",
+            "leader_term_ready",
             term=self.leadership.term,
             jobs=len(self.job_table.jobs),
             machines=len(self.job_table.attempts_by_machine),
@@ -169,9 +169,9 @@
                 if job.spec.priority is Priority.PRODUCTION:
                     self._plan_due = 0.0  # it displaces other work at once, best before that is launched
                 info(
-                    "job_new",
+                    "job_loaded",
                     job=job_id,
-                    of=job.spec.job_class,
+                    job_class=job.spec.job_class,
                     kind=job.spec.kind,
                     tasks=job.spec.tasks,
                     image=job.spec.image,
@@ -199,7 +199,7 @@
         lost = self.job_table.machine_lost(name, monotonic_time())
         self.assignments.pop(name, None)
         self.rounds.bring_forward()
-        info("machine_gone", machine=name, tasks=lost)
+        info("machine_lost", machine=name, tasks=lost)
         self.commit_queue.wake.set()
         self.evaluations.request()
 
@@ -223,10 +223,10 @@
         started = self.scheduler.run(now)
         for attempt in started:
             info(
-                "place",
+                "task_placed",
                 job=attempt.job.spec.id,
                 task=attempt.index,
-                attempt_number=attempt.number,
+                attempt=attempt.number,
                 machine=attempt.machine,
             )
         if self.on_evaluated is not None:
@@ -247,7 +247,13 @@
                 continue
             early = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
             for attempt in self.preemption.make_room(job, now, early):
-                info("preempt", job=attempt.job.spec.id, task=attempt.index, machine=attempt.machine, by=job.spec.id)
+                info(
+                    "task_preempted",
+                    job=attempt.job.spec.id,
+                    task=attempt.index,
+                    machine=attempt.machine,
+                    by=job.spec.id,
+                )
                 stop_softly(attempt, self.settings.gang_peer_s)
                 if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
                     self.job_table.attempt_lost(attempt, now)
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -221,7 +221,7 @@
         try:
             await self.state.end_lease(lease)
         except StateError as problem:
-            info("key_kept", problem=problem)  # it runs out by itself
+            info("leader_lease_revocation_failed", error=problem)  # it runs out by itself
 
     def heard(self, heartbeat: PeerHeartbeat) -> None:
         """A peer told its view."""
@@ -247,7 +247,7 @@
     def step_down(self, why: str) -> None:
         """Lead no longer."""
         if self.leading:
-            info("step_down", term=self.term, why=why)
+            info("leadership_lost", term=self.term, reason=why)
             self.leading = False
             self.deadline = -1e9
             self._tell()
@@ -319,5 +319,5 @@
         self.fenced_at = None
         self.leading = True
         self.deadline = started + self.ttl / DRIFT
-        info("leading", term=term)
+        info("leadership_acquired", term=term)
         self._tell()
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -204,8 +204,8 @@
         listening = await server.start(settings.client_listen.host, settings.client_listen.port)
         peer_listening = await self.peers.listen(settings.peer_listen)
         for warning in warnings(settings):
-            info("small_settings", warning=warning)
-        info("serving", version=__version__, node=settings.node, peers=len(settings.peers))
+            info("settings_warning", warning=warning)
+        info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
@@ -233,7 +233,7 @@
                 await loop()
                 return
             except Exception as problem:
-                error("loop_failed", problem=repr(problem))
+                error("background_task_failed", error=repr(problem))
                 await asyncio.sleep(self.settings.leader_lease_s / 4)
 
     def _check_sockets(self) -> None:
@@ -241,7 +241,9 @@
         largest = max((kind.size.gpus for kind in self.catalog.types.values()), default=0.0)
         guaranteed = sum(team.gpus for team in self.settings.teams.values())
         if largest > 0 and guaranteed / largest > self.sockets:
-            error("sockets_too_few", sockets=self.sockets, machines_guaranteed=math.ceil(guaranteed / largest))
+            error(
+                "socket_limit_below_quota", sockets=self.sockets, machines_guaranteed=math.ceil(guaranteed / largest)
+            )
 
     async def _learn_types(self) -> None:
         """Machine types are needed before anything can be decided."""
@@ -249,7 +251,7 @@
             try:
                 self.catalog.types = await self.cloud.machine_types()
             except CloudError as problem:
-                debug("types_unknown", problem=problem)
+                debug("machine_types_unavailable", error=problem)
                 await asyncio.sleep(1.0)
         self._check_sockets()
 
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -85,7 +85,7 @@
                     return
             await self._ask(name, offer, count)
         except StateError as problem:
-            debug("rent_unwritten", request=name, problem=problem)
+            debug("provisioning_intent_failed", request=name, error=problem)
         finally:
             self.pending.pop(offer, None)
             self.on_change()
@@ -98,10 +98,12 @@
                 self._refuse(offer)
                 machines = ()
             except CloudError as problem:
-                debug("rent_unanswered", request=name, problem=problem)
+                debug("provisioning_failed", request=name, error=problem)
                 await asyncio.sleep(RETRY_S)
                 continue
-            info("rented", request=name, zone=offer.zone, spot=offer.spot, asked=count, got=len(machines))
+            info(
+                "machines_provisioned", request=name, zone=offer.zone, spot=offer.spot, asked=count, got=len(machines)
+            )
             if len(machines) < count:
                 self._refuse(offer)
             kind = self.catalog.types[offer.type]
@@ -121,7 +123,7 @@
         try:
             await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
         except StateError:
-            debug("intent_kept", request=name)
+            debug("provisioning_intent_kept", request=name)
 
     # -- giving back ------------------------------------------------------------------------------
 
@@ -146,7 +148,7 @@
                 try:
                     await self.cloud.delete(names)
                 except CloudError as problem:
-                    debug("delete_unanswered", count=len(names), problem=problem)
+                    debug("machine_deletion_failed", count=len(names), error=problem)
                     await asyncio.sleep(RETRY_S)
                     continue
                 for name in names:
@@ -164,7 +166,7 @@
                 self._listed(await self.cloud.machines())
                 self.catalog.types = await self.cloud.machine_types()
             except CloudError as problem:
-                debug("list_failed", problem=problem)
+                debug("machine_list_failed", error=problem)
             await asyncio.sleep(max(self.settings.list_lag_s, 2.0))
 
     def _listed(self, rows: list[ListedMachine]) -> None:
@@ -176,12 +178,12 @@
             known = row.name in self.inventory.machines
             machine = self.inventory.add(row.name, kind, row.zone, row.spot, now, row.age)
             if not known:
-                info("machine_found", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
+                info("machine_discovered", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
                 self.on_change()
             if row.status == "failed":
                 self.delete(machine)
             elif row.status == "running" and not machine.up:
                 first = self._listed_up.setdefault(row.name, now)
                 if now - first > self.settings.lease_s * 2 and not machine.deleting:
-                    info("machine_mute", machine=row.name)
+                    info("machine_unreachable_outbound", machine=row.name)
                     self.delete(machine)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -125,7 +125,7 @@
             failed = response.status >= 500
             return response
         except (StateError, UnavailableError) as problem:
-            debug("user_unserved", problem=problem)
+            debug("user_request_unavailable", error=problem)
             return _refuse(limiter, 503)
         finally:
             limiter.leave(monotonic_time() - started, failed)
--- a/src/passrock/io/http_server.py
+++ b/src/passrock/io/http_server.py
@@ -101,7 +101,7 @@
             now = asyncio.get_running_loop().time()
             if now - self.warned >= self.idle_s:
                 self.warned = now
-                error("sockets_used_up", limit=self.limit)  # the platform's limit is small for this fleet
+                error("socket_limit_reached", limit=self.limit)  # the platform's limit is small for this fleet
             return False
         min(idle, key=lambda c: c.since).close()
         return True
@@ -214,7 +214,7 @@
         try:
             result = self.server.handler(request)
         except Exception as problem:
-            error("handler_failed", path=path[:80], problem=repr(problem))
+            error("request_handler_failed", path=path[:80], error=repr(problem))
             result = Response(500)
         if isinstance(result, Response):
             self.send(result)
@@ -229,7 +229,7 @@
             return
         problem = task.exception()
         if problem is not None:
-            error("handler_failed", problem=repr(problem))
+            error("request_handler_failed", error=repr(problem))
             self.send(Response(500))
         else:
             self.send(task.result())
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -113,7 +113,7 @@
 
     def drop(self, reason: str) -> None:
         """Close on something that is not a message."""
-        debug("peer_malformed", reason=reason)
+        debug("peer_message_malformed", reason=reason)
         if self.transport is not None:
             self.transport.abort()
 
--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenes in which two troubles meet, each on a cluster with work of every kind; a scene says whether they did meet."""
+"""Scenarios in which two failures coincide, each on a cluster with work of every kind; it tells whether they did."""
 
 import asyncio
 
@@ -22,8 +22,8 @@
     return [name for name in cluster.nodes if name != leader]
 
 
-# A scene plays on a cluster with work of every kind and returns whether the troubles did meet. Afterwards all is quiet
-# for long enough that whatever waits must run.
+# A scenario plays on a cluster with work of every kind and returns whether the failures did coincide. All is quiet
+# afterwards for long enough that whatever waits must run.
 
 LONG = 60.0
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -1,4 +1,4 @@
-"""Slots under floods and faults, in the simulated cluster: one decision for all, and interactive work gets through."""
+"""Slots under floods and faults, in the simulation: one decision for all, and interactive work gets through."""
 
 import asyncio
 
