--- /dev/null
+++ b/tests/test_golden_encodings.py
@@ -0,0 +1,927 @@
+"""Golden encodings: stored records, messages and bodies keep the form that the files under tests/golden pin.
+
+The files were written once (tests/golden/README.md tells how) and are never computed here. In their JSON an object
+is a struct's fields in their order, whatever they are called, and a mapping is a list of pairs. The adapters below
+turn such values into the structs of the code and back, by position, so that names of fields hardly stand here. What
+the code stores or sends in passing is recorded from the code itself, by the drivers further below.
+"""
+
+import asyncio
+import base64
+import json
+import math
+import random
+import time
+from enum import Enum
+from pathlib import Path
+from types import SimpleNamespace
+
+import cbor2
+import fastavro
+import msgspec
+import pytest
+from backports import zstd
+
+from passrock.admission.controller.allocation_store import AllocationStore
+from passrock.admission.core.allocation import Allocation, Column, Service
+from passrock.admission.core.decision import Decision, FlowOutcome
+from passrock.admission.core.demand import DemandReport, FlowDemand
+from passrock.admission.core.flows import Flow
+from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
+from passrock.admission.settings import AdmissionSettings
+from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
+from passrock.admission.wire.demand_message import MalformedDemandError, decode_demand, encode_demand
+from passrock.controller import keys
+from passrock.controller.binding_rounds import BindingRounds
+from passrock.controller.commit_queue import CommitQueue
+from passrock.controller.leadership import Leadership
+from passrock.controller.loading import load_records
+from passrock.controller.node import Node
+from passrock.controller.rentals import Rentals
+from passrock.controller.replica import Replica
+from passrock.controller.submissions import Submitter
+from passrock.controller.term import Term
+from passrock.core.budget import Budget
+from passrock.core.cancellations import Cancellations
+from passrock.core.fleet import Fleet
+from passrock.core.jobs import Book, new_record
+from passrock.core.messages import Command, Op, TaskState
+from passrock.core.model import Kind, Priority, Resources, Spec
+from passrock.core.records import Permit, decode_spec
+from passrock.core.renting import Market, Offer
+from passrock.io.clock import use_wall_clock
+from passrock.io.cloud import CloudClient
+from passrock.io.http_server import Request
+from passrock.io.peers import Heartbeat, PeerConnection, Peers, frame
+from passrock.io.state import StateClient
+from passrock.settings import Operator, parse_settings
+from passrock.wire import cloud, state, users, workers
+from standins import virtual_loop
+from standins.deployment import node_table
+from tables import BOX, Desk, report
+
+GOLDEN = Path(__file__).parent / "golden"
+TIME_OF_DAY = 1_700_000_123.25
+VALUE_BYTES = 1024
+PERMIT = Permit("p/a/000000004711/000", 97, [4711, 13])
+
+
+# -- fixture files -------------------------------------------------------------------------------------------
+
+
+def spelt(name):
+    """What a fixture's JSON file says."""
+    return json.loads((GOLDEN / f"{name}.json").read_text())
+
+
+def golden(name):
+    """A fixture's bytes."""
+    return (GOLDEN / name).read_bytes()
+
+
+def positional(value):
+    """Objects as lists of their values."""
+    if isinstance(value, dict):
+        value = value.values()
+    return [positional(one) for one in value] if not isinstance(value, str | int | float | None) else value
+
+
+def plain(value):
+    """Structs and tuples as lists by position, mappings as lists of pairs, bytes in hexadecimal."""
+    if isinstance(value, msgspec.Struct):
+        return [plain(getattr(value, name)) for name in value.__struct_fields__]
+    if isinstance(value, Enum):
+        return STATES.get(value, value.value)
+    if isinstance(value, dict):
+        return [[plain(key), plain(one)] for key, one in value.items()]
+    if isinstance(value, list | tuple):
+        return [plain(one) for one in value]
+    if value is msgspec.UNSET:
+        return None
+    return value.hex() if isinstance(value, bytes) else value
+
+
+def text(value):
+    """As JSON, a value a line: numbers are told apart by type, mappings by order."""
+    return json.dumps(value, indent=1)
+
+
+# -- adapters: one for each kind of record or message --------------------------------------------------------
+
+STATES = {
+    TaskState.FETCHING: "fetching",
+    TaskState.WAITING: "waiting",
+    TaskState.RUNNING: "running",
+    TaskState.SAVING: "saving",
+    TaskState.EXITED: "exited",
+}
+OPS = {"start": Op.START, "stop": Op.STOP, "forget": Op.FORGET}
+
+
+def flows(pairs, make=lambda value: value):
+    return {Flow(*key.values()): make(value) for key, value in pairs}
+
+
+def make_spec(values):
+    job, job_class, team, kind, priority, tasks, need, image, image_gb, types, *rest = values.values()
+    types = None if types is None else tuple(types)
+    kind, priority, need = Kind(kind), Priority(priority), Resources(*need.values())
+    return Spec(job, job_class, team, kind, priority, tasks, need, image, image_gb, types, *rest)
+
+
+def encode_job(values):
+    spec, submitted, mark = values.values()
+    return msgspec.json.encode(new_record(make_spec(spec), submitted, mark))
+
+
+def decode_job(data):
+    record = msgspec.json.decode(data)
+    job = Book(50).load(record, 7, 100.0, 20.0)
+    assert plain(decode_spec(record["s"])) == plain(job.spec)
+    return [plain(job.spec), job.submitted, record.get("ad")]
+
+
+def make_heartbeat(values):
+    *fields, cancelled, extensions = values.values()
+    if extensions is None:
+        return Heartbeat(*fields, tuple(cancelled))
+    return Heartbeat(*fields, tuple(cancelled), {name: bytes.fromhex(data) for name, data in extensions})
+
+
+def receive_heartbeat(data):
+    received = []
+    connection = PeerConnection(lambda _, heartbeat: received.append(heartbeat))
+    for piece in (data[:3], data[3:17], data[17:]):
+        connection.data_received(piece)
+    assert len(received) == 1 and connection.buffer == b""
+    return received[0]
+
+
+def encode_heartbeat(values):
+    return frame(make_heartbeat(values))
+
+
+def decode_heartbeat(data):
+    return plain(receive_heartbeat(data))
+
+
+def make_demand(values):
+    node, life, started_ms, number, term, rows, left_out = values.values()
+    counted = flows(rows, lambda row: FlowDemand(*row.values()))
+    return DemandReport(node, life, started_ms, number, term, counted, left_out)
+
+
+def encode_demand_report(values):
+    return encode_demand(make_demand(values))
+
+
+def decode_demand_report(data):
+    return plain(decode_demand("node-3", data))
+
+
+def make_column(life, interactive, shared, granted):
+    return Column(life, interactive, shared, flows(granted))
+
+
+def make_allocation(values):
+    slot, term, leader, columns, service, settled, started, pace = values.values()
+    columns = {node: make_column(*column.values()) for node, column in columns}
+    teams, used = service.values()
+    return Allocation(slot, term, leader, columns, Service(dict(teams), flows(used)), settled, flows(started), pace)
+
+
+def unpacked(pages):
+    """The text of an allocation's pages, not compressed: the compressed form is the library's affair."""
+    return zstd.decompress(base64.b85decode("".join(page["z"] for page in pages)))
+
+
+def make_decision(values):
+    *fields, outcomes = values.values()
+    return Decision(*fields, tuple(FlowOutcome(*one.values()) for one in outcomes))
+
+
+def make_command(values):
+    op, *fields = values.values()
+    return Command(OPS[op], *fields)
+
+
+def make_write(values):
+    kind, *fields = values.values()
+    return state.Put(*fields) if kind == "put" else state.Delete(fields[0])
+
+
+# fixture -> how its values are encoded, and how its bytes are decoded where the code has that direction
+RECORDS = {
+    **{f"records/job_{name}": ("json", encode_job, decode_job) for name in ("array", "gang", "service", "low")},
+    "peers/heartbeat_leader": ("frame", encode_heartbeat, decode_heartbeat),
+    "peers/heartbeat_follower": ("frame", encode_heartbeat, decode_heartbeat),
+    "peers/heartbeat_required_only": ("frame", None, decode_heartbeat),
+    "peers/demand": ("msgpack", encode_demand_report, decode_demand_report),
+    "peers/demand_left_out": ("msgpack", None, decode_demand_report),
+}
+# fixture -> the parser of a body that others send
+PARSERS = {
+    **{f"users/submission_{name}": users.parse_submission for name in ("array", "gang", "service", "low")},
+    "workers/report": workers.parse_report,
+    "workers/report_minimal": workers.parse_report,
+    "cloud/machine_types": cloud.parse_types,
+    "cloud/rented": cloud.parse_rented,
+    "cloud/machines": cloud.parse_list,
+    "cloud/machines_last_page": cloud.parse_list,
+    "state/lease": state.parse_lease,
+    "state/entry": state.parse_entry,
+    "state/revision": state.parse_revision,
+    "state/failed": state.parse_failed,
+    "state/page": state.parse_page,
+    "state/page_last": state.parse_page,
+    "state/changes": state.parse_changes,
+}
+# fixture -> the encoder of a body that is sent to others, called with the fixture's values
+ENCODERS = {
+    "users/brief_answer": users.brief_answer,
+    "users/full_answer": users.full_answer,
+    "users/error_answer": users.error_answer,
+    "workers/answer": lambda token, commands: workers.answer(token, [make_command(one) for one in commands]),
+    "workers/redirect": workers.redirect,
+    "workers/redirect_nowhere": workers.redirect,
+    "cloud/rental": cloud.rental,
+    "cloud/deletion": cloud.deletion,
+    "state/commit": lambda conditions, writes: state.commit(dict(conditions), [make_write(one) for one in writes]),
+    "state/lease_request": state.lease_request,
+}
+# name in wire/paths.json -> constant, or function with its arguments there
+PATHS = {
+    "users runs": users.RUNS_PATH,
+    "users withdraw": users.WITHDRAW_END,
+    "users health": users.HEALTH_PATH,
+    "workers checkin": workers.CHECKIN_PATH,
+    "cloud types": cloud.TYPES_PATH,
+    "cloud rentals": cloud.RENTALS_PATH,
+    "cloud delete": cloud.DELETE_PATH,
+    "cloud list": cloud.list_path,
+    "cloud list further": cloud.list_path,
+    "state leases": state.LEASES_PATH,
+    "state commit": state.COMMIT_PATH,
+    "state get": state.get_path,
+    "state list": state.list_path,
+    "state list further": state.list_path,
+    "state watch": state.watch_path,
+    "state renew": state.renew_path,
+    "state lease": state.lease_path,
+}
+# name in records/keys.json -> prefix or key, or function with its arguments there
+KEYS = {
+    "root": keys.ROOT,
+    "jobs": keys.JOB,
+    "chunks": keys.CHUNK,
+    "cancellations": keys.CANCEL,
+    "finals": keys.FINAL,
+    "intents": keys.INTENT,
+    "reservations": keys.RESERVATION,
+    "reservation pages": keys.MORE,
+    "hints": keys.HINT,
+    "allocations": keys.ALLOCATION,
+    "leader": keys.LEADER,
+    "term": keys.TERM,
+    "nowhere": keys.NOWHERE,
+    "job": keys.job,
+    "first chunk": keys.chunk,
+    "further chunk": keys.chunk,
+    "cancellation": keys.cancel,
+    "final": keys.final,
+    "reservation": keys.reservation,
+    "reservation page": keys.reservation,
+    "team of a reservation": keys.reservation_team,
+    "team of a reservation page": keys.reservation_team,
+    "allocation": keys.allocation,
+    "slot of an allocation": keys.allocation_slot,
+    "slot of a page": keys.allocation_slot,
+    "slot of something else": keys.allocation_slot,
+}
+
+
+# -- codecs --------------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("name", [name for name, (_, encode, _) in RECORDS.items() if encode is not None])
+def test_records_and_messages_are_encoded_to_the_golden_bytes(name):
+    suffix, encode, _ = RECORDS[name]
+    assert encode(spelt(name)) == golden(f"{name}.{'record' if suffix == 'json' else suffix}")
+
+
+@pytest.mark.parametrize("name", RECORDS)
+def test_golden_records_and_messages_are_decoded(name):
+    suffix, _, decode = RECORDS[name]
+    assert text(decode(golden(f"{name}.{'record' if suffix == 'json' else suffix}"))) == text(positional(spelt(name)))
+
+
+@pytest.mark.parametrize("name", PARSERS)
+def test_golden_bodies_are_parsed(name):
+    assert text(plain(PARSERS[name](golden(f"{name}.cbor")))) == text(positional(spelt(name)))
+
+
+@pytest.mark.parametrize("name", ENCODERS)
+def test_bodies_are_encoded_to_the_golden_bytes(name):
+    assert ENCODERS[name](*spelt(name).values()) == golden(f"{name}.cbor")
+
+
+@pytest.mark.parametrize(("fixture", "table"), [("wire/paths", PATHS), ("records/keys", KEYS)])
+def test_paths_and_keys(fixture, table):
+    rows = spelt(fixture)
+    assert {name: row["arguments"] is not None for name, row in rows.items()} == {
+        name: callable(made) for name, made in table.items()
+    }
+    for name, row in rows.items():
+        made = table[name](*row["arguments"]) if callable(table[name]) else table[name]
+        assert plain(made) == row["text"], name
+
+
+def test_allocation_is_encoded_to_the_golden_text_on_pages_of_bounded_size():
+    expected = spelt("records/allocation_pages")
+    pages = encode_allocation(make_allocation(spelt("records/allocation")), 300)
+    assert unpacked(pages) == unpacked(expected) == golden("records/allocation.msgpack")
+    head = pages[0]
+    assert (list(head), head["v"], head["pages"]) == (["v", "pages", "z"], 1, len(pages)) and len(pages) > 2
+    assert all(list(page) == ["z"] and len(page["z"]) <= 100 for page in pages[1:])
+
+
+def test_golden_allocation_is_decoded():
+    allocation = decode_allocation(spelt("records/allocation_pages"))
+    assert text(plain(allocation)) == text(positional(spelt("records/allocation")))
+
+
+def test_decision_log_is_written_with_the_golden_schema_and_rows(tmp_path):
+    log = DecisionLog(str(tmp_path), 1 << 20, 1_700_000_123_456)
+    for decision in map(make_decision, spelt("log/decisions")):
+        log.add(decision)
+    log.close()
+    (path,) = log_files(str(tmp_path))
+    assert Path(path).name == "decisions-001700000123456-00000.avro"
+    written, expected = (read_avro(name) for name in (path, GOLDEN / "log/decisions.avro"))
+    assert written == expected  # the files themselves differ: each has a random mark between its blocks
+
+
+def read_avro(path):
+    """Schema, compression and rows, as any tool for such files reads them."""
+    with open(path, "rb") as file:
+        reader = fastavro.reader(file)
+        return reader.metadata, reader.codec, list(reader)
+
+
+def test_golden_decision_log_is_read():
+    decisions = list(read_file(str(GOLDEN / "log/decisions.avro")))
+    assert text(plain(decisions)) == text(positional(spelt("log/decisions")))
+
+
+# -- records that the code makes in passing: what it sends to the services is recorded -----------------------
+
+
+class RecordingHttp:
+    """Keeps what a client sends, and answers as a service would that carries out everything."""
+
+    ANSWERS = {"/commit": {"ledger": 4711}, "/leases": {"loan": 77}, "/rentals": {"stacks": ["host-41", "host-42"]}}
+
+    def __init__(self, stored=None):
+        self.stored = stored or {}  # key -> value and version
+        self.sent = []
+
+    async def request(self, method, path, body=b"", timeout=0.0):
+        self.sent.append((method, path, body))
+        key = path.removeprefix("/kv/")
+        if key in self.stored:
+            value, version = self.stored[key]
+            return 200, cbor2.dumps({"key": key, "v": value, "stamp": version})
+        if path.startswith("/kv/"):
+            return 404, cbor2.dumps({"ledger": 4710})
+        if method == "GET" and path.startswith("/rentals"):
+            return 200, cbor2.dumps({"stacks": [], "truncated": False})
+        if path == "/machine_types":
+            return 200, golden("cloud/machine_types.cbor")
+        return 200, cbor2.dumps(self.ANSWERS.get(path, {}))
+
+    def changing(self):
+        """The requests that change something."""
+        return [sent for sent in self.sent if sent[0] != "GET"]
+
+
+def state_client(http):
+    return StateClient(http, http, Budget(1e4, 1e4), Budget(1e4, 1e4))
+
+
+def cloud_client(http):
+    return CloudClient(http, Budget(1e4, 1e4))
+
+
+def make_settings(admission=None):
+    table = node_table(1, 3, ("za", "zb", "zc"), guarantee=8.0)
+    table["deployment"]["state"]["value_kb"] = VALUE_BYTES / 1024
+    table["deployment"]["cloud"]["list_lag_s"] = 0.0
+    table["deployment"]["teams"][0]["gpus_max"] = 1000.0
+    faults = []
+    settings = parse_settings(table, Operator(), faults)
+    assert faults == []
+    return msgspec.structs.replace(settings, admission=admission)
+
+
+def make_replica(client, entries=(), revision=10**9):
+    replica = Replica(client, 100)
+    replica.loaded, replica.revision = True, revision
+    replica.entries.update({entry.key: entry for entry in entries})
+    return replica
+
+
+def make_leadership(client, replica, term=41, stamp=97):
+    """A leadership that has just been taken."""
+    leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
+    leadership.leading, leadership.term, leadership.stamp = True, term, stamp
+    return leadership
+
+
+def make_rounds(client, desk):
+    leadership = make_leadership(client, make_replica(client))
+    market = Market({"box": BOX})
+    return BindingRounds(make_settings(), client, leadership, desk.book, desk.fleet, market, desk.placer)
+
+
+async def accept_a_job(http):
+    """A submission with a permit, as a follower commits it."""
+    spec = users.parse_submission(golden("users/submission_array.cbor"))
+    assert await Submitter(state_client(http), 9).submit(spec, PERMIT)
+
+
+def started_job():
+    """A job of two records with attempts and completed tasks in both."""
+    desk = Desk((), chunk=4)
+    machine = desk.fleet.observe(report("host-31", session=6, seq=2), BOX, 0.0)
+    job = desk.book.load(msgspec.json.decode(golden("records/job_array.record")), 98, 100.0, 20.0)
+    for index, attempt in ((1, 21), (4, 23), (2, 22), (5, 24), (3, 25)):
+        desk.book.start(job, index, machine, attempt, 0.0)
+    for live in [live for live in job.lives() if live.index in (1, 3, 4)]:
+        desk.book.completed(live)
+    return desk, job
+
+
+def commit_queue(client, book):
+    return CommitQueue(client, book, 97, 12, lambda job_id, status: None, lambda: None, lambda: None)
+
+
+async def record_attempts(http):
+    """A job's own record and that of its further tasks."""
+    desk, _ = started_job()
+    queue = commit_queue(state_client(http), desk.book)
+    assert await queue.commit(queue.build(12))
+
+
+async def finish_jobs(http):
+    """A job that is done, a cancelled one, and the records of tasks that they leave behind."""
+    desk, job = started_job()
+    for index in (0, 6):
+        desk.book.start(job, index, desk.fleet.machines["host-31"], 26, 0.0)
+    for live in list(job.lives()):
+        desk.book.completed(live)
+    job.chunk(4).stamp = 99
+    other = desk.book.load(msgspec.json.decode(golden("records/job_gang.record")), 96, 100.0, 20.0)
+    desk.book.cancel(other, 50.0)
+    queue = commit_queue(state_client(http), desk.book)
+    assert await queue.commit(queue.build(12)) and await queue.commit(queue.build(12))
+
+
+async def withdraw_a_job(http):
+    """A user cancels a job."""
+    client = state_client(http)
+    node = Node(make_settings(), client, cloud_client(http), [], random.Random(5))
+    value = msgspec.json.decode(golden("records/job_array.record"))
+    node.replica.entries["p/j/wk-4071"] = state.Entry("p/j/wk-4071", value, 98)
+    node.replica.loaded, node.replica.revision = True, 4710
+    answer = await node.handle(Request("POST", "/v2/runs/wk-4071/withdraw", b""))
+    assert (answer.status, cbor2.loads(answer.body)) == (200, {"ref": "wk-4071", "status": "cancelled"})
+
+
+def fleet_with_images():
+    """Machines with images, and a team that asks for most of them."""
+    names = [f"host-{number}-with-a-name-of-forty-characters" for number in range(32, 62)]
+    desk = Desk((), chunk=50)
+    for name in ("host-31", *names):
+        desk.up(name)
+    for place, name in enumerate(("host-31", *names[:7])):
+        desk.fleet.machines[name].images.update({f"edition-{place % 3}": 2.5 + place % 3, "edition-9": 9.75})
+    desk.job(1, tasks=60, team="t0")
+    return desk
+
+
+async def bind_machines(http):
+    """A binding round: a reservation of two pages, two that are empty, and two records of image hints."""
+    desk = fleet_with_images()
+    rounds = make_rounds(state_client(http), desk)
+    rounds.run_if_due(1e6)
+    while len(rounds.bound) < 30 or not http.sent:
+        await asyncio.sleep(0.1)
+    await asyncio.sleep(10.0)
+
+
+async def rent_machines(http):
+    """A rental: written ahead, asked for, and settled."""
+    client = state_client(http)
+    leadership = make_leadership(client, make_replica(client))
+    market = Market(cloud.parse_types(golden("cloud/machine_types.cbor")))
+    rentals = Rentals(
+        make_settings(), client, cloud_client(http), market, Fleet(1.0, 10.0, 0.36, 0.0, 41), leadership
+    )
+    rentals.rent(Offer("g8", "zb", True), 17)
+    await asyncio.sleep(10.0)
+
+
+async def resume_a_rental(http):
+    """A new leader repeats what an earlier one may have left unanswered."""
+    client = state_client(http)
+    leadership = make_leadership(client, make_replica(client), term=42, stamp=197)
+    market = Market(cloud.parse_types(golden("cloud/machine_types.cbor")))
+    rentals = Rentals(
+        make_settings(), client, cloud_client(http), market, Fleet(1.0, 10.0, 0.36, 0.0, 42), leadership
+    )
+    rentals.resume([entry for entry in golden_entries("rental") if entry.key.startswith("p/q/")])
+    await asyncio.sleep(10.0)
+
+
+async def take_the_leadership(http):
+    """A node takes its own former key over, with the next term."""
+    client = state_client(http)
+    former = [state.Entry("p/lead", {"node": "n1", "term": 40}, 95), state.Entry("p/term", 40, 94)]
+    leadership = Leadership(
+        make_settings(), client, make_replica(client, former), Cancellations(1e6), random.Random(5)
+    )
+    work = asyncio.ensure_future(leadership.run())
+    while not leadership.leading:
+        await asyncio.sleep(0.1)
+    work.cancel()
+
+
+DRIVEN = {
+    "submission": accept_a_job,
+    "attempts": record_attempts,
+    "finished_jobs": finish_jobs,
+    "withdrawal": withdraw_a_job,
+    "binding_round": bind_machines,
+    "rental": rent_machines,
+    "resumed_rental": resume_a_rental,
+    "leadership": take_the_leadership,
+}
+
+
+@pytest.fixture
+def wall_clock():
+    """The time of day stands still."""
+    use_wall_clock(lambda: TIME_OF_DAY)
+    yield
+    use_wall_clock(time.time)
+
+
+def driven(name):
+    http = RecordingHttp()
+    virtual_loop.run(DRIVEN[name](http))
+    return http.changing()
+
+
+@pytest.mark.parametrize("name", DRIVEN)
+def test_requests_that_carry_records_keep_their_bytes(name, wall_clock):
+    expected = spelt(f"requests/{name}")
+    sent = driven(name)
+    assert [[method, path] for method, path, _ in sent] == [[row["method"], row["path"]] for row in expected]
+    for number, ((_, _, body), row) in enumerate(zip(sent, expected, strict=True)):
+        assert text(cbor2.loads(body)) == text(row["body"])
+        assert body == golden(f"requests/{name}.{number}.cbor")
+
+
+# -- records are read ----------------------------------------------------------------------------------------
+
+
+def golden_entries(*names):
+    """What the golden requests leave in the state, by their bodies' bytes; each with a version of its own."""
+    entries = {}
+    for name in names:
+        for path in sorted((GOLDEN / "requests").glob(f"{name}.*.cbor")):
+            for change in cbor2.loads(path.read_bytes()).get("apply", ()):
+                if "set" in change:
+                    entries[change["set"]] = state.Entry(change["set"], change["v"], 1000 + len(entries))
+    return list(entries.values())
+
+
+def loaded(entries):
+    """The books of a new term, from a copy of the state with these entries."""
+    desk = Desk((), chunk=4)
+    client = state_client(RecordingHttp())
+    rounds, queue = make_rounds(client, desk), commit_queue(client, desk.book)
+    load_records(make_replica(client, entries), Cancellations(1e6), desk.book, desk.fleet, rounds, queue)
+    return desk, rounds, queue
+
+
+def job_values(job):
+    """What the books hold of a job."""
+    chunks = [[number, one.first, one.attempt, one.done, one.stamp] for number, one in sorted(job.chunks.items())]
+    lives = [[live.index, live.attempt, live.machine, live.session, live.mine] for live in job.lives()]
+    at = job.cancelled_at if math.isfinite(job.cancelled_at) else None
+    return [plain(job.spec), job.submitted, job.order, job.done_count, job.cancelled, at, chunks, lives]
+
+
+def test_a_new_leader_reads_the_golden_records(wall_clock):
+    async def main():
+        await asyncio.sleep(50.0)  # by the steady clock; records tell the time of day
+        use_wall_clock(lambda: TIME_OF_DAY + 12.5)
+        stray = state.Entry("p/t/wk-4079/1", {}, 3)
+        desk, rounds, queue = loaded([*golden_entries("attempts", "withdrawal", "binding_round"), stray])
+        (job,) = desk.book.jobs.values()
+        return [job_values(job), plain(rounds.bound), plain(desk.fleet.hints), queue.orphans]
+
+    assert text(virtual_loop.run(main())) == text(positional(spelt("records/loaded")))
+
+
+def test_golden_records_of_a_job_answer_a_query(wall_clock):
+    async def main():
+        client = state_client(RecordingHttp())
+        node = Node(make_settings(), client, cloud_client(RecordingHttp()), [], random.Random(5))
+        node.users.chunk_size = 4
+        node.replica.entries.update({entry.key: entry for entry in golden_entries("attempts")})
+        node.replica.loaded, node.replica.revision = True, 4710
+        return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
+
+    answer = virtual_loop.run(main())
+    assert answer.status == 200 and answer.body == golden("users/running_job.cbor")
+
+
+@pytest.mark.parametrize(("key", "place"), [("p/f/wk-4071", "done"), ("p/f/wk-4072", "cancelled")])
+def test_golden_final_states_are_told_to_users(key, place, wall_clock):
+    """Read by the key, where the copy of the state has forgotten it, and from a change that the copy is shown."""
+    entry = next(entry for entry in golden_entries("finished_jobs") if entry.key == key)
+    job_id = key.rpartition("/")[2]
+
+    async def main():
+        http = RecordingHttp({key: (entry.value, entry.version)})
+        client = state_client(http)
+        node = Node(make_settings(), client, cloud_client(http), [], random.Random(5))
+        node.replica.loaded, node.replica.revision = True, 4710
+        answer = await node.handle(Request("GET", f"/v2/runs/{job_id}", b""))
+        shown = make_replica(client, revision=4000)
+        http.ANSWERS = {
+            "/changes?prefix=p/&after=4000&holdMs=4000": {
+                "ledger": 4001,
+                "events": [{"set": key, "v": entry.value, "stamp": 4001}],
+            }
+        }
+        work = asyncio.ensure_future(shown.run())
+        assert await shown.reach(4001, 5.0)
+        work.cancel()
+        return answer, dict(shown.finals)
+
+    answer, finals = virtual_loop.run(main())
+    assert answer.status == 200 and answer.body == golden(f"users/{place}_job.cbor")
+    assert finals == {job_id: place}
+
+
+def test_golden_leader_and_term_are_known_to_followers(wall_clock):
+    async def main():
+        entries = golden_entries("leadership")
+        client = state_client(RecordingHttp())
+        client.last_good = 0.0
+        replica = make_replica(client, entries)
+        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
+        for entry in entries:
+            for listener in replica.listeners:
+                listener(entry.key, entry)
+        return leadership.leader(), leadership.known_term
+
+    assert virtual_loop.run(main()) == ("n1", 41)
+
+
+def admitting_node():
+    """A node with fair admission switched on."""
+    http = RecordingHttp()
+    settings = make_settings(AdmissionSettings())
+    return Node(settings, state_client(http), cloud_client(http), [], random.Random(5))
+
+
+def show(node, key, value, version=7):
+    """Let a node's copy of the state show an entry."""
+    entry = state.Entry(key, value, version)
+    node.replica.entries[key] = entry
+    for listener in node.replica.listeners:
+        listener(key, entry)
+
+
+def test_golden_permit_mark_counts_the_job_in_its_slot(wall_clock):
+    async def main():
+        node = admitting_node()
+        record = msgspec.json.decode(golden("records/job_array.record"))
+        show(node, "p/j/wk-4071", record)
+        return plain(node.admission.admitted.of(4711))
+
+    assert virtual_loop.run(main()) == [[["team-ore", "class-sift"], 1]]
+
+
+def test_golden_allocation_opens_its_slot(wall_clock):
+    async def main():
+        node = admitting_node()
+        for page, value in enumerate(spelt("records/allocation_pages")):
+            show(node, keys.allocation(4711, page), value)
+        stored = node.admission.store.get(4711)
+        return plain(stored.allocation), stored.version, stored.pages
+
+    allocation, version, pages = virtual_loop.run(main())
+    assert text(allocation) == text(positional(spelt("records/allocation")))
+    assert (version, pages) == (7, len(spelt("records/allocation_pages")))
+
+
+# -- messages between controllers, as they answer each other -------------------------------------------------
+
+
+class Neighbour:
+    """A subsystem with its part in the messages, and a link to the one peer; both keep what they get."""
+
+    name = "admission"
+
+    def __init__(self):
+        self.got, self.sent = [], []
+
+    def outgoing(self):
+        return bytes.fromhex("93a1b2c3")
+
+    def received(self, node, data):
+        self.got.append([node, data.hex()])
+
+    async def ask(self, heartbeat, timeout):
+        self.sent.append(frame(heartbeat))
+
+
+def peers_with_a_neighbour(known):
+    neighbour = Neighbour()
+    seen = []
+    view = make_heartbeat(spelt("peers/own_view"))
+    peers = Peers([neighbour], lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known)
+    peers.extensions.append(neighbour)
+    return peers, neighbour, seen
+
+
+def test_answer_to_the_golden_message_keeps_its_bytes():
+    known = Cancellations(1e6)
+    for number in range(20):
+        known.learn(f"wk-{5000 + number}", 0.0)
+
+    async def main():
+        peers, neighbour, seen = peers_with_a_neighbour(known)
+        reply = peers.reply(receive_heartbeat(golden("peers/heartbeat_leader.frame")))
+        return frame(reply), neighbour.got, seen
+
+    answer, got, seen = virtual_loop.run(main())
+    assert decode_heartbeat(answer) == positional(spelt("peers/answer"))
+    assert answer == golden("peers/answer.frame")
+    assert seen == [positional(spelt("peers/heartbeat_leader"))]
+    assert got == [["node-3", dict(spelt("peers/heartbeat_leader")["extensions"])["admission"]]]
+
+
+def test_after_the_golden_answer_the_next_question_keeps_its_bytes():
+    known = Cancellations(1e6)
+
+    async def main():
+        peers, neighbour, _ = peers_with_a_neighbour(known)
+        neighbour.heard(receive_heartbeat(golden("peers/answer.frame")), 3.0)
+        work = asyncio.ensure_future(peers.run(1.0))
+        await asyncio.sleep(0.5)
+        work.cancel()
+        return neighbour.sent
+
+    (question,) = virtual_loop.run(main())
+    assert known.piece(0, 100)[1] == spelt("peers/answer")["cancelled"]
+    assert decode_heartbeat(question) == positional(spelt("peers/question"))
+    assert question == golden("peers/question.frame")
+
+
+# -- what can't be read --------------------------------------------------------------------------------------
+
+
+def unreadable(entries, key):
+    """The entries with one of them made unreadable."""
+    return [state.Entry(key, {"?": 1}, 1) if entry.key == key else entry for entry in entries]
+
+
+@pytest.mark.parametrize(
+    "key", [None, "p/j/wk-4071", "p/t/wk-4071/1", "p/c/wk-4071", "p/r/t0", "p/m/1/t0", "p/h/0", "p/q/41-1"]
+)
+def test_a_leader_that_cannot_read_a_record_leads_no_longer(key, wall_clock):
+    """``None``: all can be read."""
+
+    async def main():
+        entries = golden_entries("attempts", "withdrawal", "binding_round", "rental")
+        mark = state.Entry("p/q/41-1", {"ty": "g8", "z": "zb", "sp": True, "n": 17}, 3)
+        entries.append(mark)
+        assert key is None or key in {entry.key for entry in entries}
+        http = RecordingHttp()
+        client = state_client(http)
+        replica = make_replica(client, unreadable(entries, key))
+        leadership = make_leadership(client, replica)
+        market = Market(cloud.parse_types(golden("cloud/machine_types.cbor")))
+        term = Term(
+            make_settings(), client, cloud_client(http), replica, leadership.cancellations, leadership, market
+        )
+        term.start()
+        await asyncio.sleep(3.0)
+        term.stop()
+        for task in term.tasks:
+            await asyncio.wait([task])
+        if key is not None:
+            assert isinstance(term.tasks[0].exception(), KeyError)
+        return leadership.leading
+
+    assert virtual_loop.run(main()) is (key is None)
+
+
+@pytest.mark.parametrize("value", ["n1", None, {"node": 1, "term": 41}, {"node": "n1", "term": "41"}, {"?": 1}])
+def test_an_unreadable_leader_key_names_no_leader(value):
+    async def main():
+        client = state_client(RecordingHttp())
+        client.last_good = 0.0
+        replica = make_replica(client, [state.Entry("p/lead", value, 7)])
+        return Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5)).leader()
+
+    assert virtual_loop.run(main()) is None
+
+
+@pytest.mark.parametrize("value", ["41", None, {"?": 1}])
+def test_an_unreadable_term_that_the_copy_shows_is_passed_over(value):
+    async def main():
+        client = state_client(RecordingHttp())
+        replica = make_replica(client)
+        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
+        for listener in replica.listeners:
+            listener("p/term", state.Entry("p/term", value, 7))
+        return leadership.known_term
+
+    assert virtual_loop.run(main()) == 0
+
+
+@pytest.mark.parametrize("mark", [None, 4711, [], ["4711", 13], {"?": 1}])
+def test_an_unreadable_permit_mark_counts_in_no_slot(mark):
+    async def main():
+        node = admitting_node()
+        show(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
+        return [node.admission.admitted.of(slot) for slot in (4711, 13)]
+
+    assert virtual_loop.run(main()) == [{}, {}]
+
+
+def bad_pages(change):
+    pages = spelt("records/allocation_pages")
+    change(pages)
+    return pages
+
+
+BAD_ALLOCATIONS = {
+    "another version": lambda pages: pages[0].update(v=2),
+    "no version": lambda pages: pages[0].pop("v"),
+    "no number of pages": lambda pages: pages[0].update(pages="3"),
+    "a page too few": lambda pages: pages.pop(),
+    "no text": lambda pages: pages[1].pop("z"),
+    "other text": lambda pages: pages[1].update(z="!" * 20),
+    "no record": lambda pages: pages.__setitem__(0, 7),
+}
+
+
+@pytest.mark.parametrize("change", BAD_ALLOCATIONS.values(), ids=BAD_ALLOCATIONS)
+def test_an_unreadable_allocation_opens_no_slot(change):
+    pages = bad_pages(change)
+    with pytest.raises(UnreadableAllocationError):
+        decode_allocation(pages)
+    entries = {keys.allocation(4711, page): state.Entry("", value, 7) for page, value in enumerate(pages)}
+    entries = {key: state.Entry(key, entry.value, 7) for key, entry in entries.items()}
+    store = AllocationStore(lambda: entries)
+    for key, entry in entries.items():
+        store.changed(key, entry)
+    assert store.get(4711) is None
+
+
+@pytest.mark.parametrize("data", [b"", b"junk", b"\x97\x02", golden("peers/heartbeat_leader.frame")[4:]])
+def test_an_unreadable_demand_message_is_refused(data):
+    with pytest.raises(MalformedDemandError):
+        decode_demand("node-3", data)
+
+
+def test_a_demand_message_of_another_version_is_refused():
+    data = golden("peers/demand.msgpack")
+    assert data[1] == 1
+    with pytest.raises(MalformedDemandError, match="version 2"):
+        decode_demand("node-3", data[:1] + b"\x02" + data[2:])
+
+
+def test_an_unreadable_message_between_controllers_ends_its_connection():
+    received, ended = [], []
+    connection = PeerConnection(lambda _, heartbeat: received.append(heartbeat))
+    connection.transport = SimpleNamespace(abort=lambda: ended.append(True))
+    data = golden("peers/heartbeat_leader.frame")
+    connection.data_received(data.replace(b"\xa4node", b"\xa4nade", 1))
+    assert (received, ended) == ([], [True])
+
+
+def test_a_damaged_decision_log_is_read_up_to_the_damage(tmp_path):
+    data = bytearray(golden("log/decisions.avro"))
+    data[-20] ^= 0xFF
+    (tmp_path / "damaged").write_bytes(data)
+    with pytest.raises(DecisionLogError, match="unreadable after 0 decisions"):
+        list(read_file(str(tmp_path / "damaged")))
