--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -23,10 +23,17 @@
 from backports import zstd
 
 from passrock.admission.controller.allocation_store import AllocationStore
+from passrock.admission.controller.allocator import SlotAllocator
+from passrock.admission.controller.dispatch import Dispatch
+from passrock.admission.controller.intake import Intake
+from passrock.admission.controller.outcomes import SlotOutcomes
 from passrock.admission.core.allocation import Allocation, Column, Service
 from passrock.admission.core.decision import Decision, FlowOutcome
 from passrock.admission.core.demand import DemandReport, FlowDemand
-from passrock.admission.core.flows import Flow
+from passrock.admission.core.flows import Flow, Weights
+from passrock.admission.core.grants import Grants
+from passrock.admission.core.slots import SlotClock
+from passrock.admission.core.starvation import Obstacle, StartWatch
 from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
@@ -730,6 +737,81 @@
     assert (version, pages) == (7, len(spelt("records/allocation_pages")))
 
 
+def test_golden_allocation_gives_the_golden_permit(wall_clock):
+    values = spelt("records/allocation")
+    store = AllocationStore(dict)
+    clock = SlotClock(TIME_OF_DAY / (4711 + 0.5))
+    intake = Intake(clock, Grants("node-1", 7000001), store, Weights({}, (), {}, {}, 1.5), random.Random(5))
+    store.put(make_allocation(values), 97, 3)
+    assert plain(intake.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
+
+
+def test_a_slot_is_committed_under_the_golden_keys_and_conditions(wall_clock):
+    """The record itself is pinned above; here without its text, which the allocation algorithm decides."""
+
+    async def main():
+        http = RecordingHttp()
+        client = state_client(http)
+        leadership = make_leadership(client, make_replica(client))
+        settings, admission = make_settings(AdmissionSettings()), AdmissionSettings()
+        control = admitting_node().admission
+        dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
+        weights, demand, concluded = control.weights, control.demand, []
+        outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
+        store = AllocationStore(dict)
+        for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
+            store.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
+        allocator = SlotAllocator(
+            settings, admission, client, leadership, store, outcomes, control.report, lambda: 0.0
+        )
+        await allocator.decide(4712)
+        return http.changing(), store.get(4712).version
+
+    sent, version = virtual_loop.run(main())
+    ((method, path, body),) = sent
+    body = cbor2.loads(body)
+    texts = [change["v"].pop("z") for change in body["apply"] if "set" in change]
+    assert [[method, path, body]] == [list(row.values()) for row in spelt("requests/allocation")]
+    assert decode_allocation([{**body["apply"][0]["v"], "z": texts[0]}]).slot == 4712 and version == 4711
+
+
+@pytest.mark.parametrize(
+    ("key", "record", "ended"),
+    [("p/f/wk-4071", "finished_jobs", [["wk-4071", "done"]]), ("p/c/wk-4071", "withdrawal", [])],
+)
+def test_golden_records_are_read_after_a_conflict(key, record, ended, wall_clock):
+    """Another leader has written how the job ended, or its user has cancelled it meanwhile."""
+    (value,) = [entry.value for entry in golden_entries(record) if entry.key == key]
+
+    class Conflict(RecordingHttp):
+        async def request(self, method, path, body=b"", timeout=0.0):
+            status, answer = await super().request(method, path, body, timeout)
+            return (409, golden("state/failed_condition.cbor")) if path == "/commit" else (status, answer)
+
+    async def main():
+        await asyncio.sleep(50.0)
+        use_wall_clock(lambda: TIME_OF_DAY + 12.5)
+        client = state_client(Conflict({key: (value, 93)}))
+        desk, job = started_job()
+        for live in list(job.lives()):
+            desk.book.completed(live)
+        for index in (0, 6):
+            desk.book.completed(desk.book.start(job, index, desk.fleet.machines["host-31"], 26, 0.0))
+        finals = []
+        queue = commit_queue(client, desk.book)
+        queue.on_final = lambda *final: finals.append(list(final))
+        assert await queue.commit(queue.build(12))
+        return finals, job.cancelled, job.cancelled_at
+
+    finals, cancelled, at = virtual_loop.run(main())
+    assert finals == ended
+    assert (cancelled, at) == ((False, math.inf) if ended else (True, 37.5))
+
+
+def test_obstacles_in_the_decision_log():
+    assert [one.value for one in Obstacle] == spelt("log/obstacles")
+
+
 # -- messages between controllers, as they answer each other -------------------------------------------------
 
 
