--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -391,6 +391,7 @@
     def __init__(self, stored=None):
         self.stored = stored or {}  # key -> value and version
         self.sent = []
+        self.listed = [cbor2.dumps({"stacks": []})]  # answers to the machine list, the last one again and again
 
     async def request(self, method, path, body=b"", timeout=0.0):
         self.sent.append((method, path, body))
@@ -401,7 +402,7 @@
         if path.startswith("/kv/"):
             return 404, cbor2.dumps({"ledger": 4710})
         if method == "GET" and path.startswith("/rentals"):
-            return 200, cbor2.dumps({"stacks": [], "truncated": False})
+            return 200, self.listed.pop(0) if len(self.listed) > 1 else self.listed[0]
         if path == "/machine_types":
             return 200, golden("cloud/machine_types.cbor")
         return 200, cbor2.dumps(self.ANSWERS.get(path, {}))
@@ -437,6 +438,13 @@
     return replica
 
 
+def a_node(http, admission=None):
+    """A controller whose copy of the state is empty and up to date."""
+    node = Node(make_settings(admission), state_client(http), cloud_client(http), [], random.Random(5))
+    node.replica.loaded, node.replica.revision = True, 4710
+    return node
+
+
 def make_leadership(client, replica, term=41, stamp=97):
     """A leadership that has just been taken."""
     leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
@@ -495,11 +503,9 @@
 
 async def withdraw_a_job(http):
     """A user cancels a job."""
-    client = state_client(http)
-    node = Node(make_settings(), client, cloud_client(http), [], random.Random(5))
+    node = a_node(http)
     value = msgspec.json.decode(golden("records/job_array.record"))
     node.replica.entries["p/j/wk-4071"] = state.Entry("p/j/wk-4071", value, 98)
-    node.replica.loaded, node.replica.revision = True, 4710
     answer = await node.handle(Request("POST", "/v2/runs/wk-4071/withdraw", b""))
     assert (answer.status, cbor2.loads(answer.body)) == (200, {"ref": "wk-4071", "status": "cancelled"})
 
@@ -526,6 +532,19 @@
     await asyncio.sleep(10.0)
 
 
+async def shrink_a_reservation(http):
+    """A round that leaves an earlier leader's reservation with fewer machines than its record and its page hold."""
+    desk = Desk(())
+    desk.up("host-31")
+    desk.job(1, tasks=2, team="t0")
+    rounds = make_rounds(state_client(http), desk)
+    for entry in golden_entries("binding_round"):
+        if entry.key.startswith(("p/r/", "p/m/")):
+            rounds.load(entry)
+    rounds.run_if_due(1e6)
+    await asyncio.sleep(10.0)
+
+
 async def rent_machines(http):
     """A rental: written ahead, asked for, and settled."""
     client = state_client(http)
@@ -550,6 +569,21 @@
     await asyncio.sleep(10.0)
 
 
+async def delete_listed_machines(http):
+    """Of the machines in the cloud's list, one has failed, and one runs without ever reporting."""
+    http.listed = [golden("cloud/machines_last_page.cbor"), golden("cloud/machines_mute.cbor")]
+    client = state_client(http)
+    leadership = make_leadership(client, make_replica(client))
+    market = Market(cloud.parse_types(golden("cloud/machine_types.cbor")))
+    rentals = Rentals(
+        make_settings(), client, cloud_client(http), market, Fleet(1.0, 10.0, 0.36, 0.0, 41), leadership
+    )
+    work = [asyncio.ensure_future(loop) for loop in (rentals.list_machines(), rentals.deletions())]
+    await asyncio.sleep(60.0)
+    for task in work:
+        task.cancel()
+
+
 async def take_the_leadership(http):
     """A node takes its own former key over, with the next term."""
     client = state_client(http)
@@ -569,8 +603,10 @@
     "finished_jobs": finish_jobs,
     "withdrawal": withdraw_a_job,
     "binding_round": bind_machines,
+    "shrunken_reservation": shrink_a_reservation,
     "rental": rent_machines,
     "resumed_rental": resume_a_rental,
+    "deletions": delete_listed_machines,
     "leadership": take_the_leadership,
 }
 
@@ -584,8 +620,12 @@
 
 
 def driven(name):
+    async def main():
+        async with asyncio.timeout(100.0):  # of virtual time
+            await DRIVEN[name](http)
+
     http = RecordingHttp()
-    virtual_loop.run(DRIVEN[name](http))
+    virtual_loop.run(main())
     return http.changing()
 
 
@@ -642,17 +682,26 @@
     assert text(virtual_loop.run(main())) == text(positional(spelt("records/loaded")))
 
 
-def test_golden_records_of_a_job_answer_a_query(wall_clock):
+@pytest.mark.parametrize(("fixture", "records"), [("running_job", ["attempts"]), ("queued_job", ["submission"])])
+def test_golden_records_of_a_job_answer_a_query(fixture, records, wall_clock):
     async def main():
-        client = state_client(RecordingHttp())
-        node = Node(make_settings(), client, cloud_client(RecordingHttp()), [], random.Random(5))
+        node = a_node(RecordingHttp())
         node.users.chunk_size = 4
-        node.replica.entries.update({entry.key: entry for entry in golden_entries("attempts")})
-        node.replica.loaded, node.replica.revision = True, 4710
+        node.replica.entries.update({entry.key: entry for entry in golden_entries(*records)})
         return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
 
     answer = virtual_loop.run(main())
-    assert answer.status == 200 and answer.body == golden("users/running_job.cbor")
+    assert answer.status == 200 and answer.body == golden(f"users/{fixture}.cbor")
+
+
+def test_golden_submission_gets_the_golden_answer(wall_clock):
+    async def main():
+        node = a_node(RecordingHttp())
+        node.market.types = cloud.parse_types(golden("cloud/machine_types.cbor"))
+        return await node.handle(Request("POST", "/v2/runs", golden("users/submission_known_team.cbor")))
+
+    answer = virtual_loop.run(main())
+    assert answer.status == 201 and answer.body == golden("users/accepted_job.cbor")
 
 
 @pytest.mark.parametrize(("key", "place"), [("p/f/wk-4071", "done"), ("p/f/wk-4072", "cancelled")])
@@ -663,11 +712,8 @@
 
     async def main():
         http = RecordingHttp({key: (entry.value, entry.version)})
-        client = state_client(http)
-        node = Node(make_settings(), client, cloud_client(http), [], random.Random(5))
-        node.replica.loaded, node.replica.revision = True, 4710
-        answer = await node.handle(Request("GET", f"/v2/runs/{job_id}", b""))
-        shown = make_replica(client, revision=4000)
+        answer = await a_node(http).handle(Request("GET", f"/v2/runs/{job_id}", b""))
+        shown = make_replica(state_client(http), revision=4000)
         http.ANSWERS = {
             "/changes?prefix=p/&after=4000&holdMs=4000": {
                 "ledger": 4001,
@@ -699,13 +745,6 @@
     assert virtual_loop.run(main()) == ("n1", 41)
 
 
-def admitting_node():
-    """A node with fair admission switched on."""
-    http = RecordingHttp()
-    settings = make_settings(AdmissionSettings())
-    return Node(settings, state_client(http), cloud_client(http), [], random.Random(5))
-
-
 def show(node, key, value, version=7):
     """Let a node's copy of the state show an entry."""
     entry = state.Entry(key, value, version)
@@ -716,7 +755,7 @@
 
 def test_golden_permit_mark_counts_the_job_in_its_slot(wall_clock):
     async def main():
-        node = admitting_node()
+        node = a_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
         show(node, "p/j/wk-4071", record)
         return plain(node.admission.admitted.of(4711))
@@ -726,7 +765,7 @@
 
 def test_golden_allocation_opens_its_slot(wall_clock):
     async def main():
-        node = admitting_node()
+        node = a_node(RecordingHttp(), AdmissionSettings())
         for page, value in enumerate(spelt("records/allocation_pages")):
             show(node, keys.allocation(4711, page), value)
         stored = node.admission.store.get(4711)
@@ -754,7 +793,7 @@
         client = state_client(http)
         leadership = make_leadership(client, make_replica(client))
         settings, admission = make_settings(AdmissionSettings()), AdmissionSettings()
-        control = admitting_node().admission
+        control = a_node(RecordingHttp(), AdmissionSettings()).admission
         dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
@@ -942,7 +981,7 @@
 @pytest.mark.parametrize("mark", [None, 4711, [], ["4711", 13], {"?": 1}])
 def test_an_unreadable_permit_mark_counts_in_no_slot(mark):
     async def main():
-        node = admitting_node()
+        node = a_node(RecordingHttp(), AdmissionSettings())
         show(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
         return [node.admission.admitted.of(slot) for slot in (4711, 13)]
 
