--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -222,6 +222,7 @@
     **{f"records/job_{name}": ("json", encode_job, decode_job) for name in ("array", "gang", "service", "low")},
     "peers/heartbeat_leader": ("frame", encode_heartbeat, decode_heartbeat),
     "peers/heartbeat_follower": ("frame", encode_heartbeat, decode_heartbeat),
+    "peers/heartbeat_demand": ("frame", encode_heartbeat, decode_heartbeat),
     "peers/heartbeat_required_only": ("frame", None, decode_heartbeat),
     "peers/demand": ("msgpack", encode_demand_report, decode_demand_report),
     "peers/demand_left_out": ("msgpack", None, decode_demand_report),
@@ -438,9 +439,9 @@
     return replica
 
 
-def a_node(http, admission=None):
+def a_node(http, admission=None, links=()):
     """A controller whose copy of the state is empty and up to date."""
-    node = Node(make_settings(admission), state_client(http), cloud_client(http), [], random.Random(5))
+    node = Node(make_settings(admission), state_client(http), cloud_client(http), links, random.Random(5))
     node.replica.loaded, node.replica.revision = True, 4710
     return node
 
@@ -858,6 +859,7 @@
     """A subsystem with its part in the messages, and a link to the one peer; both keep what they get."""
 
     name = "admission"
+    answer, asked_at, waiting_since = None, -1e9, None
 
     def __init__(self):
         self.got, self.sent = [], []
@@ -898,6 +900,33 @@
     assert got == [["node-3", dict(spelt("peers/heartbeat_leader")["extensions"])["admission"]]]
 
 
+def test_a_node_answers_with_its_view_and_its_demand(wall_clock):
+    """A real node, not its parts: what of its state goes into which field, and under which name its demand does."""
+
+    async def main():
+        await asyncio.sleep(10.0)
+        node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
+        node.leadership.run_id = node.admission.life = 7000001
+        node.replica.proved(7.375)
+        for number in range(3):
+            node.cancellations.learn(f"wk-{5000 + number}", 8.0)
+        for number in range(2):
+            node.leadership.redirect(f"host-{number}", 41)
+        node.admission.intake.decide(make_spec(spelt("users/submission_array")))
+        await asyncio.sleep(2.5)
+        use_wall_clock(lambda: TIME_OF_DAY + 0.5)
+        answer = node.peers.reply(receive_heartbeat(golden("peers/heartbeat_demand.frame")))
+        return frame(answer), node.admission.demand
+
+    answer, demand = virtual_loop.run(main())
+    assert decode_heartbeat(answer) == positional(spelt("peers/answer_of_a_node"))
+    assert answer == golden("peers/answer_of_a_node.frame")
+    ((name, data),) = spelt("peers/answer_of_a_node")["extensions"]
+    assert text(plain(decode_demand("n1", bytes.fromhex(data)))) == text(positional(spelt("peers/demand_of_a_node")))
+    reported = plain(demand.demand(0.0)["node-3"])
+    assert reported == positional(spelt("peers/demand")["flows"])
+
+
 def test_after_the_golden_answer_the_next_question_keeps_its_bytes():
     known = Cancellations(1e6)
 
