--- a/src/passrock/cli.py
+++ b/src/passrock/cli.py
@@ -7,7 +7,7 @@
 
 from passrock import __version__
 from passrock.serving import EXIT_FAULTY_SETTINGS, serve_from
-from passrock.settings import FilePath, SettingsError, read_settings, warnings
+from passrock.settings import FilePath, SettingsError, read_settings, resource_warnings
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -63,7 +63,7 @@
         for fault in error.faults:
             print(fault, file=sys.stderr)
         return EXIT_FAULTY_SETTINGS
-    for warning in warnings(settings):
+    for warning in resource_warnings(settings):
         print(f"warning: {warning}", file=sys.stderr)
     print(f"{path}: fine")
     return 0
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -26,7 +26,7 @@
 from passrock.io.peers import Link, PeerLink, Peers
 from passrock.io.state import StateClient, StateError
 from passrock.logs import debug, error, info, start_logging
-from passrock.settings import Settings, warnings
+from passrock.settings import Settings, resource_warnings
 from passrock.wire import users as user_wire
 from passrock.wire import workers as worker_wire
 from passrock.wire.cbor import MalformedBodyError
@@ -203,7 +203,7 @@
         server = HttpServer(self.handle, self.sockets, idle_s=60.0, head_s=settings.report_s * 4)
         listening = await server.start(settings.client_listen.host, settings.client_listen.port)
         peer_listening = await self.peers.listen(settings.peer_listen)
-        for warning in warnings(settings):
+        for warning in resource_warnings(settings):
             info("settings_warning", warning=warning)
         info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
         gc.collect()
--- /dev/null
+++ b/src/passrock/settings/__init__.py
@@ -0,0 +1,24 @@
+"""Settings of a controller: the platform's TOML file and the operators' HCL files, checked as a whole.
+
+``read_settings`` is the way in. ``docs/settings.md`` lists every setting.
+"""
+
+from __future__ import annotations
+
+from passrock.settings.checks import resource_warnings
+from passrock.settings.faults import SettingsError
+from passrock.settings.files import FilePath, read_settings
+from passrock.settings.model import Address, OperatorSettings, Peer, Settings
+from passrock.settings.platform_file import parse_settings
+
+__all__ = [
+    "Address",
+    "FilePath",
+    "OperatorSettings",
+    "Peer",
+    "Settings",
+    "SettingsError",
+    "parse_settings",
+    "read_settings",
+    "resource_warnings",
+]
--- /dev/null
+++ b/src/passrock/settings/model.py
@@ -0,0 +1,83 @@
+"""Types of the settings. Field names are those of the files."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from passrock.core.model import Team
+from passrock.core.objectives import Objective
+
+if TYPE_CHECKING:
+    from passrock.admission.settings import AdmissionSettings
+
+
+class Address(msgspec.Struct, frozen=True):
+    """An IPv4 address and port."""
+
+    host: str
+    port: int
+
+
+class Peer(msgspec.Struct, frozen=True):
+    """Another controller."""
+
+    node: str
+    zone: str
+    address: Address
+
+
+class OperatorSettings(msgspec.Struct, frozen=True):
+    """Operators' own settings, mostly ratios to the platform's figures. Defaults stand in deploy/passrock.hcl too."""
+
+    leader_lease_ratio: float = 0.25
+    silent_ratio: float = 0.36
+    round_s: float = 20.0
+    alpha_extra: float = 0.1
+    buffer_share: float = 1.0
+    idle_boot_ratio: float = 0.4
+    idle_floor_s: float = 8.0
+    begin_within_s: float = 240.0
+    keep_room_ratio: float = 0.3
+    socket_share: float = 0.85
+
+
+class Settings(msgspec.Struct, frozen=True):
+    """Everything a controller is told at its start; ``_s`` in a name is seconds, ``_rps`` a rate a second."""
+
+    node: str
+    zone: str
+    client_listen: Address
+    peer_listen: Address
+    peers: tuple[Peer, ...]
+    cloud: Address
+    state: Address  # of the key-value store
+    zones: tuple[str, ...]
+    teams: dict[str, Team]
+    objectives: tuple[Objective, ...]
+    report_s: float  # between two heartbeats of a worker
+    lease_s: float
+    gang_peer_s: float
+    cancel_s: float
+    state_rps: float
+    state_write_rps: float
+    value_bytes: int
+    txn_ops: int
+    cloud_rps: float
+    list_lag_s: float
+    fd_limit: int
+    cpu: float  # the share of a core that a controller has
+    memory_mb: float
+    operator: OperatorSettings = msgspec.field(default_factory=OperatorSettings)
+    admission: AdmissionSettings | None = None  # None: switched off
+
+    @property
+    def nodes(self) -> int:
+        """How many controllers there are, this one included."""
+        return len(self.peers) + 1
+
+    @property
+    def leader_lease_s(self) -> float:
+        """How long a leader's key lives without renewal."""
+        return self.lease_s * self.operator.leader_lease_ratio
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -12,7 +12,7 @@
 from passrock.io.http_client import NoAnswerError
 from passrock.io.http_server import Response
 from passrock.io.state import StateClient
-from passrock.settings import Operator, parse_settings
+from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
 from standins.deployment import node_table
 
@@ -104,7 +104,7 @@
         )
         table["deployment"]["objectives"] = list(cluster.objectives)
         table["deployment"]["state"]["write_rps"] = cluster.write_rps
-        settings = parse_settings(table, Operator(), faults)
+        settings = parse_settings(table, OperatorSettings(), faults)
         settings = msgspec.structs.replace(settings, admission=cluster.admission[number])
         assert not faults, faults
         self.zone = settings.zone
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -63,7 +63,7 @@
 from passrock.io.http_server import Request
 from passrock.io.peers import PeerConnection, PeerHeartbeat, Peers, frame
 from passrock.io.state import StateClient
-from passrock.settings import Operator, parse_settings
+from passrock.settings import OperatorSettings, parse_settings
 from passrock.wire import cloud, state, users, workers
 from standins import virtual_time
 from standins.deployment import node_table
@@ -428,7 +428,7 @@
     table["deployment"]["cloud"]["list_lag_s"] = 0.0
     table["deployment"]["teams"][0]["gpus_max"] = 1000.0
     faults = []
-    settings = parse_settings(table, Operator(), faults)
+    settings = parse_settings(table, OperatorSettings(), faults)
     assert faults == []
     return msgspec.structs.replace(settings, admission=admission)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,6 +1,8 @@
 """Settings files: every fault is named at once; the command line's exit codes."""
 
+import copy
 import os
+import re
 import shutil
 import subprocess
 import sys
@@ -9,8 +11,14 @@
 
 import pytest
 
+from passrock.admission import settings as admission
+from passrock.admission.settings import AdmissionSettings, parse_admission
 from passrock.cli import main
-from passrock.settings import Operator, SettingsError, parse_settings, read_settings
+from passrock.core.model import Team
+from passrock.core.objectives import Objective
+from passrock.settings import OperatorSettings, SettingsError, parse_settings, read_settings, resource_warnings
+from passrock.settings.checks import LEAST_CPU, LEAST_MEMORY_MB
+from passrock.settings.operator_files import RANGES
 from standins.deployment import node_table
 from standins.loopback_cluster import toml
 
@@ -66,10 +74,55 @@
     table = node_table(0, 3, ("a", "b", "c"))
     change(table, path, value)
     faults = []
-    parse_settings(table, Operator(), faults)
+    parse_settings(table, OperatorSettings(), faults)
     assert faults and any(path.split(".")[-1] in fault or path.split(".")[0] in fault for fault in faults)
 
 
+def test_every_fault_is_reported_with_its_path_in_the_order_of_reading(tmp_path):
+    table = node_table(0, 3, ("a", "b", "c"))
+    change(table, "node", "")
+    change(table, "client_listen", "10.0.0.1")
+    change(table, "outside", None)
+    change(table, "peers", [{"node": "x", "area": 1, "endpoint": "nowhere"}])
+    change(table, "deployment.zones", [])
+    change(table, "deployment.teams", [{"name": "a"}, {"name": "a", "gpus": -1.0}])
+    change(table, "deployment.objectives", 5)
+    change(table, "deployment.workers.cancel_s", 10.0)
+    change(table, "deployment.state", {"rps": 0, "write_rps": "40", "value_kb": 0.5, "txn_ops": 3})
+    change(table, "deployment.resources.fd_limit", 31)
+    path, first, second = tmp_path / "node.toml", tmp_path / "first.hcl", tmp_path / "second.hcl"
+    path.write_text(toml(table))
+    first.write_text('round_s = 0\nspeed = 3\nsilent_ratio = "x"\nadmission {\n slot_ratio = 0.5\n}\n')
+    second.write_text("alpha_extra = 0.2\nround_s = 30\nadmission {}\n")
+    with pytest.raises(SettingsError) as caught:
+        read_settings(path, [first, second])
+    assert caught.value.faults == [
+        f"{first}: round_s: 0 is outside 1.0 to 600.0",
+        f"{first}: speed: unknown setting",
+        f"{first}: silent_ratio: a number is required",
+        f"{first}: admission.slot_ratio: 0.5 is outside 1.0 to 60.0",
+        f"{second}: round_s: stands there twice",
+        f"{second}: admission: one block is required",
+        "outside: a table is required",
+        "deployment.zones: a list of names is required",
+        "peers[0].area: a text is required",
+        "peers[0].endpoint: an address like 10.0.0.1:8080 is required",
+        "deployment.teams[1].name: a stands there twice",
+        "deployment.teams[1].gpus: -1.0 must be at least 0.0",
+        "deployment.objectives: a list of tables is required",
+        "deployment.workers.cancel_s: 10.0 must be above lease_s (10.0) and 3 times report_s (1.0)",
+        "node: a text is required",
+        "client_listen: an address like 10.0.0.1:8080 is required",
+        "outside.cloud: an address like 10.0.0.1:8080 is required",
+        "outside.state: an address like 10.0.0.1:8080 is required",
+        "deployment.state.rps: 0 must be above 0.0",
+        "deployment.state.write_rps: a number is required",
+        "deployment.state.value_kb: 0.5 must be at least 1.0",
+        "deployment.state.txn_ops: 3 must be at least 4",
+        "deployment.resources.fd_limit: 31 must be at least 32",
+    ]
+
+
 def test_check_config(tmp_path, capsys):
     table = node_table(0, 3, ("a", "b", "c"))
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
@@ -99,7 +152,7 @@
     table.write_text(toml(node_table(0, 3, ("a", "b", "c"))))
     path.write_text("round_s = 30\nalpha_extra = 0.2\n")
     assert read_settings(table, [path]).operator.round_s == 30
-    assert read_settings(table, [ROOT / "deploy" / "passrock.hcl"]).operator == Operator()
+    assert read_settings(table, [ROOT / "deploy" / "passrock.hcl"]).operator == OperatorSettings()
     path.write_text('round_s = 0\nspeed = 3\nsilent_ratio = "x"\n')
     with pytest.raises(SettingsError) as caught:
         read_settings(table, [path])
@@ -135,3 +188,137 @@
     loaded = set(run.stdout.split())
     assert "passrock.controller.node" in loaded
     assert not NOT_NEEDED & loaded
+
+
+class RecordingTable(dict):
+    """A table that notes the path of every key that is asked for; ``[]`` stands for each row of a list."""
+
+    def __init__(self, table, path, asked):
+        super().__init__(table)
+        self.path = path
+        self.asked = asked
+
+    def get(self, key, default=None):
+        path = self.path + key
+        value = super().get(key, default)
+        if isinstance(value, dict):
+            return RecordingTable(value, f"{path}.", self.asked)
+        if isinstance(value, list) and value and all(isinstance(row, dict) for row in value):
+            return [RecordingTable(row, f"{path}[].", self.asked) for row in value]
+        self.asked.add(path)
+        return value
+
+
+def documented(heading):
+    """The rows of the table below a heading of the page, by the setting's name."""
+    section = (ROOT / "docs" / "settings.md").read_text().split(f"## {heading}\n")[1].split("\n## ")[0]
+    rows = [
+        [cell.strip() for cell in line.split("|")[1:-1]] for line in section.splitlines() if line.startswith("| `")
+    ]
+    return {row[0].strip("`"): row[1:] for row in rows}
+
+
+PLATFORM = documented("The platform's file (TOML)")
+OPERATOR = documented("The operators' files (HCL)")
+ADMISSION = documented("Fair admission (HCL)")
+
+
+def full_table():
+    table = node_table(0, 3, ("a", "b", "c"))
+    table["deployment"]["objectives"] = [{"kind": "wait", "class": "c", "within_s": 60.0, "share": 0.9}]
+    return table
+
+
+def faults_of(table):
+    faults = []
+    parse_settings(table, OperatorSettings(), faults)
+    return faults
+
+
+def changed(path, value):
+    """The faults of a table in which the setting of this path on the page has this value; None takes it out."""
+    table = copy.deepcopy(full_table())
+    *way, last = re.sub(r"\[\]", ".0", path).split(".")
+    part = table
+    for key in way:
+        part = part[int(key) if key.isdigit() else key]
+    if value is None:
+        part.pop(last, None)
+    else:
+        part[last] = value
+    return faults_of(table)
+
+
+def test_the_page_names_every_setting_that_is_read():
+    asked = set()
+    faults = []
+    parse_settings(RecordingTable(full_table(), "", asked), OperatorSettings(), faults)
+    assert faults == []
+    assert asked == set(PLATFORM)
+    assert set(OPERATOR) == set(RANGES) == set(OperatorSettings.__struct_fields__)
+    assert set(ADMISSION) == set(AdmissionSettings.__struct_fields__)
+
+
+@pytest.mark.parametrize("path", PLATFORM)
+def test_the_page_has_the_ranges_and_defaults_of_the_platforms_file(path):
+    unit, limits, default, effect, restart = PLATFORM[path]
+    assert unit and effect and restart == "yes"
+    assert (changed(path, None) == []) == (default != "")
+    assert default in ("", "empty", "0")  # the only defaults that the reader knows: see the next test
+    first, *rest = limits.split()
+    if unit == "IPv4:port":
+        assert limits == "1 to 65535"
+        assert changed(path, "10.0.0.1:1") == changed(path, "10.0.0.1:65535") == []
+        assert changed(path, "10.0.0.1:0") and changed(path, "10.0.0.1:65536")
+    elif first in ("not", "any"):
+        assert (changed(path, [] if unit == "names" else "") == []) == (first == "any")
+        assert changed(path, 5)
+    else:
+        bound = float(re.match(r"(?:least )?([0-9.]+)", " ".join(rest)).group(1))
+        assert any(path.rpartition(".")[2] in fault for fault in changed(path, bound - 0.001))
+        at_bound = [fault for fault in changed(path, bound) if "times report_s" not in fault]
+        assert (at_bound == []) == (first == "at")
+
+
+def test_teams_and_objectives_have_the_defaults_of_the_page():
+    table = full_table()
+    table["deployment"]["teams"] = [{"name": "a"}]
+    table["deployment"]["objectives"] = [{"kind": "wait"}]
+    settings = parse_settings(table, OperatorSettings(), [])
+    assert settings.teams == {"a": Team("a", 0.0, 0.0, 0.0, 0.0)}
+    assert settings.objectives == (Objective("wait", "", 0.0, 0.0),)
+
+
+def test_the_page_has_the_warnings_of_small_resources():
+    table = full_table()
+    for name, key, least in (("cpu", "cpu", LEAST_CPU), ("mem_mb", "mem_mb", LEAST_MEMORY_MB)):
+        assert PLATFORM[f"deployment.resources.{name}"][1].endswith(f"warning below {least:g}")
+        for value, warned in ((least, False), (least * 0.99, True)):
+            table["deployment"]["resources"] = {"cpu": 1.0, "mem_mb": 100.0, "fd_limit": 600, key: value}
+            assert bool(resource_warnings(parse_settings(table, OperatorSettings(), []))) == warned
+
+
+@pytest.mark.parametrize(
+    ("rows", "ranges", "defaults"),
+    [(OPERATOR, RANGES, OperatorSettings()), (ADMISSION, admission.RANGES, AdmissionSettings())],
+)
+def test_the_page_has_the_ranges_and_defaults_of_the_operators_files(rows, ranges, defaults):
+    for name, (unit, limits, default, effect, restart) in rows.items():
+        assert unit and effect and restart == "yes"
+        if name in ranges:
+            low, high = ranges[name]
+            assert limits == f"{low:g} to {high:.10g}", name
+            assert float(default) == getattr(defaults, name), name
+        elif name == "log_dir":
+            assert (limits, default, getattr(defaults, name)) == ("any", "empty", "")
+        else:
+            low, high = admission.WEIGHTS
+            assert limits == f"{low:g} to {high:g}" and getattr(defaults, name) == {}
+
+
+def test_the_operators_example_files_hold_all_settings_with_their_defaults():
+    text = (ROOT / "deploy" / "passrock.hcl").read_text()
+    assert set(re.findall(r"^(\w+) *=", text, re.MULTILINE)) == set(RANGES)
+    text = (ROOT / "deploy" / "admission.hcl").read_text()
+    assert set(re.findall(r"^ +(\w+) *=", text, re.MULTILINE)) == set(AdmissionSettings.__struct_fields__)
+    assert parse_admission({}, "", []) == AdmissionSettings()
