--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passrock.core.messages import WorkerHeartbeat
-from passrock.core.model import EPSILON, NOTHING, JobSpec, MachineType, Resources
+from passrock.core.model import EPSILON, ZERO_RESOURCES, JobSpec, MachineType, Resources
 
 # Two controllers' clocks may differ by 0.05 % each way; leases are waited out with this factor.
 DRIFT = 1.002
@@ -53,7 +53,7 @@
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     fetching: dict[str, float] = msgspec.field(default_factory=dict)
     orphans: dict[tuple[str, int], Resources] = msgspec.field(default_factory=dict)
-    used: Resources = NOTHING
+    used: Resources = ZERO_RESOURCES
 
     @property
     def room(self) -> Resources:
--- a/src/passrock/core/jobs.py
+++ b/src/passrock/core/jobs.py
@@ -10,7 +10,7 @@
 
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.messages import TaskState
-from passrock.core.model import NOTHING, JobKind, JobSpec, Resources
+from passrock.core.model import ZERO_RESOURCES, JobKind, JobSpec, Resources
 from passrock.core.records import PERMIT_MARK, decode_spec, encode_spec
 
 
@@ -222,7 +222,7 @@
         attempt.job.attempt_count += 1
         self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.key] = attempt
         team = attempt.job.spec.team
-        self.usage[team] = self.usage.get(team, NOTHING) + attempt.job.spec.resources
+        self.usage[team] = self.usage.get(team, ZERO_RESOURCES) + attempt.job.spec.resources
 
     def _untrack(self, attempt: TaskAttempt) -> None:
         attempt.job.attempt_count -= 1
@@ -288,7 +288,7 @@
 
     def recompute_usage(self, machine: Machine, now: float) -> None:
         """What is used on a machine, and since when it is idle."""
-        used = NOTHING
+        used = ZERO_RESOURCES
         attempts = self.attempts_by_machine.get(machine.name, {})
         for attempt in attempts.values():
             used = used + attempt.job.spec.resources
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -1,4 +1,4 @@
-"""Plain typed data: teams, machine types, job specifications."""
+"""The vocabulary that all modules share: resources, teams, machine types and job specifications."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Priority(IntEnum):
-    """Rank of a job; a higher one may displace a lower one."""
+    """Priority class of a job; a higher one may preempt a lower one."""
 
     LOW = 0
     NORMAL = 1
@@ -27,7 +27,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """What a task takes of a machine, or what a machine has; made by the thousand, hence a light struct."""
+    """What a task requests or a machine offers, memory in GB; made by the thousand, hence without cyclic GC."""
 
     cpus: float
     gpus: float
@@ -39,46 +39,50 @@
     def __sub__(self, other: Resources) -> Resources:
         return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.memory - other.memory)
 
-    def times(self, count: float) -> Resources:
-        """The amount that ``count`` of these take."""
+    def scaled(self, count: float) -> Resources:
+        """The amount that ``count`` of these take together."""
         return Resources(self.cpus * count, self.gpus * count, self.memory * count)
 
-    def fits(self, room: Resources) -> bool:
-        """Whether this amount fits into ``room``."""
+    def fits(self, capacity: Resources) -> bool:
+        """Whether this amount fits into ``capacity``."""
         return (
-            self.gpus <= room.gpus + EPSILON
-            and self.cpus <= room.cpus + EPSILON
-            and self.memory <= room.memory + EPSILON
+            self.gpus <= capacity.gpus + EPSILON
+            and self.cpus <= capacity.cpus + EPSILON
+            and self.memory <= capacity.memory + EPSILON
         )
 
-    def count_in(self, room: Resources, most: int) -> int:
-        """How many of this amount fit into ``room`` together, up to ``most``."""
+    def fit_count(self, capacity: Resources, limit: int) -> int:
+        """How many times this amount fits into ``capacity``, up to ``limit``."""
         counts = [
-            int((theirs + EPSILON) / mine)
-            for mine, theirs in ((self.cpus, room.cpus), (self.gpus, room.gpus), (self.memory, room.memory))
-            if mine > 0
+            int((available + EPSILON) / requested)
+            for requested, available in (
+                (self.cpus, capacity.cpus),
+                (self.gpus, capacity.gpus),
+                (self.memory, capacity.memory),
+            )
+            if requested > 0
         ]
-        return max(0, min([most, *counts]))
-
-    def share_of(self, whole: Resources) -> float:
-        """The largest part that this amount takes of any resource of ``whole``."""
-        parts = [
-            mine / theirs
-            for mine, theirs in (
-                (self.cpus, whole.cpus),
-                (self.gpus, whole.gpus),
-                (self.memory, whole.memory),
+        return max(0, min([limit, *counts]))
+
+    def dominant_share(self, total: Resources) -> float:
+        """The largest share that this amount takes of any resource of ``total`` (dominant resource fairness)."""
+        shares = [
+            requested / available
+            for requested, available in (
+                (self.cpus, total.cpus),
+                (self.gpus, total.gpus),
+                (self.memory, total.memory),
             )
-            if theirs > 0
+            if available > 0
         ]
-        return max(parts, default=0.0)
+        return max(shares, default=0.0)
 
 
-NOTHING = Resources(0.0, 0.0, 0.0)
+ZERO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team with its guarantee and its limit; 0 stands for none."""
+    """A team with its guaranteed capacity and its quota (``*_max``), in CPUs and GPUs; 0 stands for none."""
 
     name: str
     cpus: float
@@ -92,14 +96,14 @@
         return self.cpus > 0 or self.gpus > 0
 
     def within_limit(self, used: Resources) -> bool:
-        """Whether ``used`` stays inside the team's limit."""
+        """Whether ``used`` stays within the team's quota."""
         return not (
             (self.cpus_max > 0 and used.cpus > self.cpus_max + EPSILON)
             or (self.gpus_max > 0 and used.gpus > self.gpus_max + EPSILON)
         )
 
     def within_guarantee(self, used: Resources) -> bool:
-        """Whether ``used`` stays inside what the team is guaranteed."""
+        """Whether ``used`` stays within the team's guaranteed capacity."""
         if not self.has_guarantee:
             return False
         return not (
@@ -108,7 +112,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A type of machine that the cloud rents out."""
+    """A machine type that the cloud offers: prices per hour, rates in GB per second, times in seconds."""
 
     name: str
     size: Resources
@@ -121,7 +125,10 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """What a user asked for."""
+    """What a user submitted; immutable for the life of the job.
+
+    Memory and image sizes are in GB; ``deadline_s`` counts from the submission.
+    """
 
     id: str
     job_class: str
@@ -134,22 +141,22 @@
     image_gb: float
     types: tuple[str, ...] | None
     zone: str | None
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate: float
-    checkpoint: float
-    save: float
-    deadline: float | None
+    single_zone: bool
+    spread_zones: bool
+    allows_spot: bool
+    estimated_run_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
+    deadline_s: float | None
 
     def allows(self, type_name: str, zone: str, spot: bool) -> bool:
         """Whether a machine of this type, zone and kind is allowed for the job."""
         return (
             (self.types is None or type_name in self.types)
             and (self.zone is None or self.zone == zone)
-            and (self.spot or not spot)
+            and (self.allows_spot or not spot)
         )
 
     def zone_cap(self) -> int:
-        """The most tasks that may be in one zone."""
-        return (self.tasks + 1) // 2 if self.spread else self.tasks
+        """The most tasks that may be in one zone: half of them, rounded up, when they have to be spread."""
+        return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -55,10 +55,10 @@
             if now < job.order + within:
                 return job.order + within - fetch
         ends = self._ends.get(spec.job_class, [])
-        if spec.deadline is not None:
-            ends = sorted([*ends, spec.deadline])
+        if spec.deadline_s is not None:
+            ends = sorted([*ends, spec.deadline_s])
         for within in ends:
-            start = job.order + within - spec.estimate * MARGIN
+            start = job.order + within - spec.estimated_run_s * MARGIN
             if now < start:
                 return start - fetch
         return PAST + job.order
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -8,7 +8,7 @@
 from passrock.core.inventory import Machine
 from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.messages import TaskState
-from passrock.core.model import NOTHING, JobKind, Priority
+from passrock.core.model import ZERO_RESOURCES, JobKind, Priority
 from passrock.core.objectives import fetch_time
 from passrock.core.scheduler import ARRAY_BATCH, Hold, Scheduler
 
@@ -61,7 +61,7 @@
     def has_elastic_work(self) -> bool:
         """Whether any team without a guarantee uses machines at the moment."""
         return any(
-            not team.has_guarantee and self.job_table.usage.get(team.name, NOTHING) != NOTHING
+            not team.has_guarantee and self.job_table.usage.get(team.name, ZERO_RESOURCES) != ZERO_RESOURCES
             for team in self.scheduler.teams.values()
         )
 
@@ -84,8 +84,8 @@
     def loss(self, victim: TaskAttempt, now: float) -> float:
         """Seconds of work lost when this task is stopped, over its whole gang."""
         spec = victim.job.spec
-        saves = spec.checkpoint > 0 and victim.state is TaskState.RUNNING
-        lost = spec.save if saves else now - victim.placed_at  # a fetch that is broken off is lost too
+        saves = spec.checkpoint_interval_s > 0 and victim.state is TaskState.RUNNING
+        lost = spec.checkpoint_save_s if saves else now - victim.placed_at  # a fetch that is broken off is lost too
         machine = self.inventory.machines.get(victim.machine)
         restart = fetch_time(spec, machine.type) if machine is not None else 0.0
         count = victim.job.attempt_count if spec.kind is JobKind.GANG else 1
@@ -135,7 +135,10 @@
     def delay_of(self, plan: list[tuple[Machine, list[TaskAttempt]]]) -> float:
         """Seconds until the victims of a plan have saved and are gone."""
         saves = [
-            attempt.job.spec.save for _, stopped in plan for attempt in stopped if attempt.job.spec.checkpoint > 0
+            attempt.job.spec.checkpoint_save_s
+            for _, stopped in plan
+            for attempt in stopped
+            if attempt.job.spec.checkpoint_interval_s > 0
         ]
         return self.patience + max(saves, default=0.0)
 
@@ -165,7 +168,7 @@
         counts = {} if spec.kind is JobKind.GANG else job.zone_counts(self.inventory)
         best: tuple[float, list[tuple[Machine, list[TaskAttempt]]]] | None = None
         zones: Iterable[str | None] = [None]
-        if spec.one_zone:
+        if spec.single_zone:
             zones = [self.scheduler.fixed_zone(job, counts)] if counts else self.scheduler.gang_zones(job)
         for zone in zones if wanted else ():
             plan = self.cheapest(job, zone, dict(counts), wanted, now, most_fetch, elastic_only)
@@ -206,7 +209,7 @@
         for price, _, machine, stopped in options:
             if len(chosen) == wanted:
                 break
-            if spec.spread and counts.get(machine.zone, 0) >= cap:
+            if spec.spread_zones and counts.get(machine.zone, 0) >= cap:
                 continue
             counts[machine.zone] = counts.get(machine.zone, 0) + 1
             total += price
@@ -260,12 +263,12 @@
 def stop_softly(attempt: TaskAttempt, patience: float) -> None:
     """Ask a task to end, with time to save where it has checkpoints."""
     if attempt.stop_grace_s is None:
-        can_save = attempt.job.spec.checkpoint > 0 and attempt.state is TaskState.RUNNING
-        attempt.stop_grace_s = max(patience, attempt.job.spec.save) if can_save else 0.0
+        can_save = attempt.job.spec.checkpoint_interval_s > 0 and attempt.state is TaskState.RUNNING
+        attempt.stop_grace_s = max(patience, attempt.job.spec.checkpoint_save_s) if can_save else 0.0
 
 
 def drain(job_table: JobTable, machine: str) -> None:
     """Let everything on a machine save and end, gangs as a whole."""
     for attempt in list(job_table.attempts_by_machine.get(machine, {}).values()):
         for mate in list(attempt.job.attempts()) if attempt.job.spec.kind is JobKind.GANG else [attempt]:
-            stop_softly(mate, mate.job.spec.save)
+            stop_softly(mate, mate.job.spec.checkpoint_save_s)
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -5,7 +5,7 @@
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.messages import Command, Op, TaskState, TaskStatus, WorkerHeartbeat
-from passrock.core.model import NOTHING, Resources
+from passrock.core.model import ZERO_RESOURCES, Resources
 
 ERROR_BACKOFF_S = 2.0
 ERROR_BACKOFF_MOST = 60.0
@@ -52,7 +52,7 @@
                 commands += self._stop(recorded, row)
             else:
                 job = self.job_table.jobs.get(row.job)
-                orphans[(row.job, row.index)] = NOTHING if job is None else job.spec.resources
+                orphans[(row.job, row.index)] = ZERO_RESOURCES if job is None else job.spec.resources
                 commands.append(Command(Op.STOP, row.job, row.index, row.attempt_number))
         machine.orphans = orphans
         self.unheeded = False
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -45,9 +45,9 @@
         "ig": spec.image_gb,
         "ty": None if spec.types is None else list(spec.types),
         "z": spec.zone,
-        "f": [spec.one_zone, spec.spread, spec.spot],
-        "e": [spec.estimate, spec.checkpoint, spec.save],
-        "dl": spec.deadline,
+        "f": [spec.single_zone, spec.spread_zones, spec.allows_spot],
+        "e": [spec.estimated_run_s, spec.checkpoint_interval_s, spec.checkpoint_save_s],
+        "dl": spec.deadline_s,
     }
 
 
@@ -65,13 +65,13 @@
         image_gb=data["ig"],
         types=None if data["ty"] is None else tuple(data["ty"]),
         zone=data["z"],
-        one_zone=data["f"][0],
-        spread=data["f"][1],
-        spot=data["f"][2],
-        estimate=data["e"][0],
-        checkpoint=data["e"][1],
-        save=data["e"][2],
-        deadline=data["dl"],
+        single_zone=data["f"][0],
+        spread_zones=data["f"][1],
+        allows_spot=data["f"][2],
+        estimated_run_s=data["e"][0],
+        checkpoint_interval_s=data["e"][1],
+        checkpoint_save_s=data["e"][2],
+        deadline_s=data["dl"],
     )
 
 
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -9,7 +9,7 @@
 
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import Job, JobTable, smallest_request
-from passrock.core.model import NOTHING, JobKind, MachineType, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, JobKind, MachineType, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
 LEAST_CHARGED_S = 60.0  # the cloud charges a deleted machine for at least this long
@@ -61,7 +61,7 @@
             offer
             for offer in found
             if self.refused.get(offer, 0.0) <= now
-            and (offer.spot or not job.spec.spot or objectives.presses(job, self.types[offer.type], now))
+            and (offer.spot or not job.spec.allows_spot or objectives.presses(job, self.types[offer.type], now))
         ]
         return sorted(open_ones, key=lambda offer: (self.price(offer), offer.zone))
 
@@ -85,10 +85,10 @@
     team = teams.get(job.spec.team)
     if team is None:
         return 0  # taken out of the settings: nothing is started for it
-    planned = used.get(team.name, NOTHING)
+    planned = used.get(team.name, ZERO_RESOURCES)
 
     def is_over(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.resources.times(count))
+        return not team.within_limit(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
         return 0 if is_over(job.waiting) else job.waiting
@@ -103,7 +103,7 @@
     """
     if job.spec.kind is JobKind.SERVICE:
         return job.waiting
-    worth = math.ceil(job.waiting * min(1.0, job.spec.estimate / LEAST_CHARGED_S))
+    worth = math.ceil(job.waiting * min(1.0, job.spec.estimated_run_s / LEAST_CHARGED_S))
     return max(worth, min(job.waiting, SMALL_ARRAY))
 
 
@@ -139,7 +139,7 @@
         count = in_reach(job, teams, used)
         if count == 0:
             continue
-        used[job.spec.team] = used.get(job.spec.team, NOTHING) + job.spec.resources.times(count)
+        used[job.spec.team] = used.get(job.spec.team, ZERO_RESOURCES) + job.spec.resources.scaled(count)
         if job.spec.kind is JobKind.GANG:
             added = _gang_bins(job, count, bins, rooms, catalog, objectives, now)
         else:
@@ -179,8 +179,8 @@
 
 def _fill(one: Bin, resources: Resources, most: int) -> int:
     """Use a bin for up to ``most`` tasks; returns how many."""
-    count = resources.count_in(one.room, most)
-    one.room = one.room - resources.times(count)
+    count = resources.fit_count(one.room, most)
+    one.room = one.room - resources.scaled(count)
     return count
 
 
@@ -197,7 +197,7 @@
     offers = catalog.offers(job, objectives, now)
     fitting = [one for one in rooms + bins if _suits(job, one, None)]
     zones: list[str | None] = [None]
-    if job.spec.one_zone:
+    if job.spec.single_zone:
         zones = list(dict.fromkeys([offer.zone for offer in offers] + [one.offer.zone for one in fitting]))
     best: tuple[float, list[tuple[Bin, int]], Offer | None, int] | None = None
     for zone in zones:
@@ -208,7 +208,7 @@
             if not missing:
                 break
             if zone is None or one.offer.zone == zone:
-                slots = resources.count_in(one.room, missing)
+                slots = resources.fit_count(one.room, missing)
                 takes.append((one, slots))
                 missing -= slots
         if missing and not here:
@@ -219,7 +219,7 @@
     if best is None:
         return []
     for one, slots in best[1]:
-        one.room = one.room - resources.times(slots)
+        one.room = one.room - resources.scaled(slots)
     added: list[Bin] = []
     offer = best[2]
     if offer is not None:
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -9,7 +9,7 @@
 
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt, smallest_request
-from passrock.core.model import NOTHING, JobKind, MachineType, Priority, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, JobKind, MachineType, Priority, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives, fetch_time
 
 # Costs are in seconds, so that they weigh against the wait for an image.
@@ -90,10 +90,10 @@
 
     def demand(self, team: str, least: Priority = Priority.LOW) -> Resources:
         """What all unfinished jobs of a team ask for, from some priority up."""
-        total = NOTHING
+        total = ZERO_RESOURCES
         for job in self.job_table.jobs.values():
             if job.spec.team == team and job.spec.priority >= least and not job.cancelled:
-                total = total + job.spec.resources.times(job.spec.tasks - job.done_count)
+                total = total + job.spec.resources.scaled(job.spec.tasks - job.done_count)
         return total
 
     def find_guaranteed(self) -> None:
@@ -108,7 +108,7 @@
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
-            total = asked.get(team.name, NOTHING) + job.spec.resources.times(job.spec.tasks - job.done_count)
+            total = asked.get(team.name, ZERO_RESOURCES) + job.spec.resources.scaled(job.spec.tasks - job.done_count)
             asked[team.name] = total
             if team.within_guarantee(total):
                 self.guaranteed.add(job.spec.id)
@@ -191,7 +191,7 @@
             job = self.job_table.jobs.get(job_id)
             if job is not None:
                 team = job.spec.team
-                self.orphan_usage[team] = self.orphan_usage.get(team, NOTHING) + resources
+                self.orphan_usage[team] = self.orphan_usage.get(team, ZERO_RESOURCES) + resources
 
     def _find_open(self) -> None:
         """The machines with room for the smallest waiting task; on a full fleet that is a handful."""
@@ -203,19 +203,19 @@
         team = self.teams.get(job.spec.team)
         if team is None:
             return False  # its limit isn't known since the team was taken out of the settings; the job stays known
-        used = self.job_table.usage.get(team.name, NOTHING) + self.orphan_usage.get(team.name, NOTHING)
-        return team.within_limit(used + job.spec.resources.times(count))
+        used = self.job_table.usage.get(team.name, ZERO_RESOURCES) + self.orphan_usage.get(team.name, ZERO_RESOURCES)
+        return team.within_limit(used + job.spec.resources.scaled(count))
 
     def cost(self, job: Job, machine: Machine) -> float:
         """How dear this machine is for a task of the job."""
         spec = job.spec
-        left = (self.rooms.of(machine) - spec.resources).share_of(machine.type.size)
+        left = (self.rooms.of(machine) - spec.resources).dominant_share(machine.type.size)
         harm = machine.fetch_harm(spec)
         cost = machine.fetch_wait(spec) + harm + PACK_COST * left
         owner = self.assignments.get(machine.name)
         if owner is not None and owner != spec.team:
             cost += FOREIGN_COST
-        if spec.spot and not machine.spot:
+        if spec.allows_spot and not machine.spot:
             cost += DEAR_COST
         if machine.name in job.avoid:
             cost += AVOID_COST
@@ -233,7 +233,7 @@
         aims leave it time: it took them for minutes, and gangs waited beside cheap room.
         """
         spec = job.spec
-        patient = spec.spot and spec.kind is JobKind.ARRAY
+        patient = spec.allows_spot and spec.kind is JobKind.ARRAY
         waits = {name: patient and not self.objectives.presses(job, kind, now) for name, kind in self.kinds.items()}
         return [
             machine
@@ -263,15 +263,15 @@
 
     def fixed_zone(self, job: Job, counts: dict[str, int]) -> str | None:
         """The zone where further tasks must go, when others are there already."""
-        return next(iter(counts)) if job.spec.one_zone and counts else None
+        return next(iter(counts)) if job.spec.single_zone and counts else None
 
     def place_each(self, job: Job, now: float) -> list[TaskAttempt]:
         """Tasks of an array or replicas, one by one."""
         spec = job.spec
-        kind = (spec.resources, spec.types, spec.zone, spec.spot, spec.kind)
+        kind = (spec.resources, spec.types, spec.zone, spec.allows_spot, spec.kind)
         if kind in self.hopeless and not self.has_hold(job):
             return []
-        counts = job.zone_counts(self.inventory) if spec.one_zone or spec.spread else {}
+        counts = job.zone_counts(self.inventory) if spec.single_zone or spec.spread_zones else {}
         if "?" in counts:
             return []  # a task is somewhere that is not known yet
         started: list[TaskAttempt] = []
@@ -279,7 +279,7 @@
             return started
         heap = self.by_cost(job, self.fixed_zone(job, counts), now)
         may_differ = bool(counts) or (
-            spec.spot and spec.kind is JobKind.ARRAY
+            spec.allows_spot and spec.kind is JobKind.ARRAY
         )  # what stops this job may not stop its kind
         if not heap:
             if not may_differ:
@@ -292,8 +292,8 @@
             if not self.allowed_now(job, 1):
                 break
             while heap and (
-                (spec.spread and counts.get(heap[0][2].zone, 0) >= cap)
-                or (spec.one_zone and counts and heap[0][2].zone not in counts)
+                (spec.spread_zones and counts.get(heap[0][2].zone, 0) >= cap)
+                or (spec.single_zone and counts and heap[0][2].zone not in counts)
             ):
                 heappop(heap)
             if not heap:
@@ -302,7 +302,7 @@
                 break
             machine = heappop(heap)[2]
             self.rooms.take(machine, spec.resources)
-            if spec.one_zone or spec.spread:
+            if spec.single_zone or spec.spread_zones:
                 counts[machine.zone] = counts.get(machine.zone, 0) + 1
             started.append(self.job_table.start(job, index, machine, job.next_attempt_number(index), now))
             self.again(job, machine, heap)
@@ -316,14 +316,14 @@
 
     def gang_zones(self, job: Job) -> list[str | None]:
         """The zones to try for a gang; None stands for all together."""
-        if not job.spec.one_zone:
+        if not job.spec.single_zone:
             return [None]
         return list(self.zones)
 
     def place_gang(self, job: Job, now: float) -> list[TaskAttempt]:
         """All tasks of a gang or none."""
         spec = job.spec
-        kind = (spec.resources, spec.types, spec.zone, spec.spot, spec.one_zone)
+        kind = (spec.resources, spec.types, spec.zone, spec.allows_spot, spec.single_zone)
         if spec.tasks >= self.hopeless.get(kind, MANY) and not self.has_hold(job):
             return self.keep_room(job, now)
         if any(key[0] == spec.id for key in self.orphans) or not self.allowed_now(job, spec.tasks):
@@ -415,7 +415,7 @@
             return 0.0
         ends = []
         for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values():
-            left = attempt.job.spec.estimate - (now - (attempt.running_since or now))
+            left = attempt.job.spec.estimated_run_s - (now - (attempt.running_since or now))
             if attempt.stop_grace_s is not None:
                 left = self.patience
             elif attempt.job.spec.kind is JobKind.SERVICE:
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -44,14 +44,15 @@
         "memory": "ramGb",
         "image": "edition",
         "image_gb": "imageGb",
-        "one_zone": "samePlace",
-        "spot": "loaners",
-        "estimate": "loanS",
-        "checkpoint": "bookmarkS",
-        "save": "shelveS",
+        "single_zone": "samePlace",
+        "spread_zones": "spread",
+        "allows_spot": "loaners",
+        "estimated_run_s": "loanS",
+        "checkpoint_interval_s": "bookmarkS",
+        "checkpoint_save_s": "shelveS",
         "types": "bindings",
         "zone": "branch",
-        "deadline": "dueS",
+        "deadline_s": "dueS",
     },
 ):
     job: cbor.Text
@@ -65,15 +66,15 @@
     memory: cbor.Number
     image: cbor.Text
     image_gb: cbor.Number
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate: cbor.Number
-    checkpoint: cbor.Number
-    save: cbor.Number
+    single_zone: bool
+    spread_zones: bool
+    allows_spot: bool
+    estimated_run_s: cbor.Number
+    checkpoint_interval_s: cbor.Number
+    checkpoint_save_s: cbor.Number
     types: tuple[cbor.TextOrEmpty, ...] | None = None
     zone: cbor.Text | None = None
-    deadline: cbor.Number | None = None
+    deadline_s: cbor.Number | None = None
 
 
 def parse_submission(body: bytes) -> JobSpec:
@@ -97,13 +98,13 @@
         image_gb=message.image_gb,
         types=message.types,
         zone=message.zone,
-        one_zone=message.one_zone,
-        spread=message.spread,
-        spot=message.spot,
-        estimate=message.estimate,
-        checkpoint=message.checkpoint,
-        save=message.save,
-        deadline=message.deadline,
+        single_zone=message.single_zone,
+        spread_zones=message.spread_zones,
+        allows_spot=message.allows_spot,
+        estimated_run_s=message.estimated_run_s,
+        checkpoint_interval_s=message.checkpoint_interval_s,
+        checkpoint_save_s=message.checkpoint_save_s,
+        deadline_s=message.deadline_s,
     )
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -3,7 +3,7 @@
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import TaskState, TaskStatus, WorkerHeartbeat
-from passrock.core.model import NOTHING, JobKind, JobSpec, MachineType, Priority, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, JobKind, JobSpec, MachineType, Priority, Resources, Team
 from passrock.core.objectives import Objective, ServiceLevelObjectives
 from passrock.core.preemption import Preemption
 from passrock.core.scheduler import Scheduler
@@ -35,13 +35,13 @@
         "image_gb": 2.0,
         "types": None,
         "zone": None,
-        "one_zone": False,
-        "spread": False,
-        "spot": False,
-        "estimate": 10.0,
-        "checkpoint": 0.0,
-        "save": 0.0,
-        "deadline": None,
+        "single_zone": False,
+        "spread_zones": False,
+        "allows_spot": False,
+        "estimated_run_s": 10.0,
+        "checkpoint_interval_s": 0.0,
+        "checkpoint_save_s": 0.0,
+        "deadline_s": None,
     }
     return JobSpec(**{**base, **fields})
 
@@ -75,7 +75,7 @@
     def refresh(self, now):
         """Every machine has just reported, and nothing runs there."""
         for machine in self.inventory.machines.values():
-            machine.heard, machine.used = now, NOTHING
+            machine.heard, machine.used = now, ZERO_RESOURCES
 
     def run(self, now=0.0):
         return [(attempt.job.spec.id, attempt.index, attempt.machine) for attempt in self.scheduler.run(now)]
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from passrock.core.model import NOTHING
+from passrock.core.model import ZERO_RESOURCES
 from standins import virtual_time
 from standins.scenarios import SCENES, on_machines, others, play, settled
 
@@ -59,7 +59,9 @@
         cluster, _ = await settled(311)
         answers = []
         for sim in cluster.nodes.values():
-            sim.node.catalog.types = {"tiny": msgspec.structs.replace(sim.node.catalog.types["box"], size=NOTHING)}
+            sim.node.catalog.types = {
+                "tiny": msgspec.structs.replace(sim.node.catalog.types["box"], size=ZERO_RESOURCES)
+            }
         for number in (0, 99):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
             answers.append((await cluster.ask("POST", "/v2/runs", cbor2.dumps(spec), 5.0))[0])
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -44,7 +44,13 @@
     """Every mate is told to stop with time to save, also those on machines that nobody asked for."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     gang = harness.job(
-        1, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), team="t1", checkpoint=5.0, save=3.0
+        1,
+        kind=JobKind.GANG,
+        tasks=2,
+        resources=Resources(10, 2, 50),
+        team="t1",
+        checkpoint_interval_s=5.0,
+        checkpoint_save_s=3.0,
     )
     harness.run()
     for attempt in gang.attempts():
@@ -76,7 +82,13 @@
     harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)])
     harness.scheduler.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
     harness.job(
-        1, team=team, priority=priority, tasks=4 * tasks, resources=Resources(4, 0, 10), checkpoint=30.0, save=3.0
+        1,
+        team=team,
+        priority=priority,
+        tasks=4 * tasks,
+        resources=Resources(4, 0, 10),
+        checkpoint_interval_s=30.0,
+        checkpoint_save_s=3.0,
     )
     harness.run()
     gang = harness.job(
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -219,7 +219,7 @@
 
 
 def test_stops_save_when_there_is_something_to_save():
-    harness, job, reconciler = placed_harness(checkpoint=5.0, save=3.0)
+    harness, job, reconciler = placed_harness(checkpoint_interval_s=5.0, checkpoint_save_s=3.0)
     attempt = next(job.attempts())
     handle(harness, reconciler, sequence=3, tasks=[row()])
     stop_softly(attempt, 6.0)
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -16,8 +16,8 @@
 # waiting jobs -> machines to rent
 RENTALS = [
     ([{"tasks": 3}], {Offer("box", "a", False): 2}),
-    ([{"tasks": 3, "spot": True}], {Offer("box", "a", True): 2}),
-    ([{"tasks": 3, "kind": JobKind.GANG, "one_zone": True}], {Offer("box", "a", False): 2}),
+    ([{"tasks": 3, "allows_spot": True}], {Offer("box", "a", True): 2}),
+    ([{"tasks": 3, "kind": JobKind.GANG, "single_zone": True}], {Offer("box", "a", False): 2}),
     ([{"tasks": 20}], {Offer("box", "a", False): 4}),  # up to the team's limit
     ([{"zone": "b"}], {Offer("box", "b", False): 1}),
 ]
@@ -48,7 +48,9 @@
 )
 def test_short_tasks_share_places(tasks, estimate, machines):
     harness = SchedulerHarness([])
-    harness.job(tasks=tasks, estimate=estimate, resources=Resources(0.25, 0, 1.0), spot=True, team="free")
+    harness.job(
+        tasks=tasks, estimated_run_s=estimate, resources=Resources(0.25, 0, 1.0), allows_spot=True, team="free"
+    )
     teams = {"free": Team("free", 0, 0, 0, 0)}
     catalog = MachineCatalog({"box": BOX})
     wanted = plan_scale_out(
@@ -59,7 +61,7 @@
 
 def test_refused_offers_rest_and_dear_ones_wait_until_needed():
     harness = SchedulerHarness([])
-    harness.job(1, spot=True, job_class="late")
+    harness.job(1, allows_spot=True, job_class="late")
     catalog = MachineCatalog({"box": BOX})
     for zone in BOX.zones:
         catalog.refuse(Offer("box", zone, True), 50.0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 from builders import BOX, SchedulerHarness, spec
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import TaskState
-from passrock.core.model import NOTHING, JobKind, Priority, Resources
+from passrock.core.model import ZERO_RESOURCES, JobKind, Priority, Resources
 from passrock.core.records import tasks_per_page
 
 EXITED = TaskState.EXITED
@@ -18,12 +18,12 @@
     ({"zone": "b"}, [("m1", "a", False)], 0),
     ({"types": ("other",)}, [("m1", "a", False)], 0),
     ({}, [("m1", "a", True)], 0),
-    ({"spot": True}, [("m1", "a", True)], 1),
-    ({"tasks": 2, "kind": JobKind.SERVICE, "spread": True}, [("m1", "a", False)], 1),
-    ({"tasks": 2, "kind": JobKind.SERVICE, "spread": True}, [("m1", "a", False), ("m2", "b", False)], 2),
-    ({"tasks": 3, "kind": JobKind.GANG, "one_zone": True}, [("m1", "a", False), ("m2", "b", False)], 0),
+    ({"allows_spot": True}, [("m1", "a", True)], 1),
+    ({"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True}, [("m1", "a", False)], 1),
+    ({"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True}, [("m1", "a", False), ("m2", "b", False)], 2),
+    ({"tasks": 3, "kind": JobKind.GANG, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 0),
     ({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3),
-    ({"tasks": 3, "one_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2),
+    ({"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2),
     ({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8),  # the team's limit
     ({"tasks": 9, "kind": JobKind.GANG}, [(f"m{i}", "a", False) for i in range(9)], 0),
 ]
@@ -70,7 +70,7 @@
     harness = SchedulerHarness([("dear", "a", False), ("cheap", "a", True)])
     if machine == "dear" or now:
         harness.inventory.machines["cheap"].notice_until = 1.0
-    harness.job(1, spot=True, **fields)
+    harness.job(1, allows_spot=True, **fields)
     harness.refresh(now)
     placed = [name for _, _, name in harness.run(now)]
     assert placed == ([machine] if machine == "dear" or not now else [])
@@ -123,16 +123,16 @@
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     small = [harness.job(n, team="t1", resources=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
     assert len(harness.run(0.0)) == 2
-    harness.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), one_zone=True, at=1.0)
+    harness.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), single_zone=True, at=1.0)
     for turn in range(3, 9):  # one small task ends at a time, and another one waits
         now = 10.0 * turn
         harness.refresh(now)
         for name, machine in harness.inventory.machines.items():
-            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else NOTHING
+            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
         harness.job_table.attempt_completed(next(small.pop(0).attempts()))
         small.append(harness.job(turn, team="t1", resources=Resources(10, 2, 50), job_class="soon", at=now))
         for name, machine in harness.inventory.machines.items():
-            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else NOTHING
+            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
         if {job for job, _, _ in harness.run(now)} == {"wk-9"}:
             break
         small = [job for job in small if job.attempt_count]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -73,7 +73,9 @@
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
     """A scheduler that takes silence for loss starts tasks twice, and the checker says so."""
-    monkeypatch.setattr(MachineInventory, "lease_expired", lambda self, machine, now, fenced: now - machine.heard > 2.0)
+    monkeypatch.setattr(
+        MachineInventory, "lease_expired", lambda self, machine, now, fenced: now - machine.heard > 2.0
+    )
     rules = {rule for seed in range(50, 56) for _, rule, _ in play(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -37,7 +37,7 @@
     harness = SchedulerHarness()
     job = harness.job_table.load({**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}, 7, 100.0, 20.0)
     attempt = next(job.attempts())
-    assert (job.spec.id, job.spec.deadline, job.submitted, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
+    assert (job.spec.id, job.spec.deadline_s, job.submitted, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
     assert (attempt.index, attempt.number, attempt.machine, attempt.incarnation, attempt.placed_this_term) == (
         2,
         5,
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -60,7 +60,7 @@
 
 def test_submission_and_record_round_trip():
     spec = users.parse_submission(body(unknownField=1, branch=..., bindings=["box"]))
-    assert (spec.id, spec.zone, spec.types, spec.deadline) == ("wk-000412", None, ("box",), 900.0)
+    assert (spec.id, spec.zone, spec.types, spec.deadline_s) == ("wk-000412", None, ("box",), 900.0)
     assert decode_spec(encode_spec(spec)) == spec
     job = JobTable(50).load(new_record(spec, 12.5), 7, 100.0, 20.0)
     assert (job.spec, job.submitted, job.page(0).mod_revision, job.waiting, job.order) == (spec, 12.5, 7, 1, 92.5)
