--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -16,7 +16,7 @@
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import debug, info
 from passrock.settings import Settings
-from passrock.wire.cloud import MOST_PER_DELETE
+from passrock.wire.cloud import MAX_PER_DELETE
 from passrock.wire.state import Delete, Entry, Put
 
 RETRY_S = 1.0
@@ -144,7 +144,7 @@
             await self._wake.wait()
             self._wake.clear()
             while self.leaving:
-                names = list(self.leaving)[:MOST_PER_DELETE]
+                names = list(self.leaving)[:MAX_PER_DELETE]
                 try:
                     await self.cloud.delete(names)
                 except CloudError as problem:
--- a/src/passrock/wire/cbor.py
+++ b/src/passrock/wire/cbor.py
@@ -28,6 +28,11 @@
     return cbor2.dumps(value)
 
 
+def encode_message(message: msgspec.Struct) -> bytes:
+    """A message as a map under its names on the wire, in the order of its fields."""
+    return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
+
+
 def decode(body: bytes, kind: type[Message]) -> Message:
     """A body as a message of this type; fields that the type doesn't name are ignored."""
     try:
--- a/src/passrock/wire/cloud.py
+++ b/src/passrock/wire/cloud.py
@@ -1,7 +1,9 @@
-"""The cloud's calls."""
+"""The cloud's calls: paths, bodies, and their types on the inner side."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from passrock.core.messages import ListedMachine
@@ -11,11 +13,18 @@
 TYPES_PATH = "/machine_types"
 RENTALS_PATH = "/rentals"
 DELETE_PATH = "/rentals/delete"
-PAGE = 500
-MOST_PER_DELETE = 100
+PAGE_LIMIT = 500  # machines
+MAX_PER_DELETE = 100  # machines
+
+
+class MachinePage(NamedTuple):
+    """One page of the list of machines, in the order of their names."""
 
+    machines: list[ListedMachine]
+    truncated: bool  # more machines follow
 
-class _Type(
+
+class _MachineTypeRow(
     msgspec.Struct,
     rename={
         "name": "sku",
@@ -41,30 +50,44 @@
     zones: tuple[cbor.TextOrEmpty, ...]
 
 
-class _Types(msgspec.Struct, rename={"types": "bindings"}):
-    types: list[_Type]
+class _TypesAnswer(msgspec.Struct, rename={"types": "bindings"}):
+    types: list[_MachineTypeRow]
 
 
-class _Rented(msgspec.Struct, rename={"machines": "stacks"}):
+class _RentalAnswer(msgspec.Struct, rename={"machines": "stacks"}):
     machines: tuple[cbor.TextOrEmpty, ...]
 
 
-class _Machine(
-    msgspec.Struct, rename={"name": "ref", "type": "binding", "zone": "branch", "spot": "loaners", "age": "ageS"}
+class _MachineRow(
+    msgspec.Struct, rename={"name": "ref", "type": "binding", "zone": "branch", "spot": "loaners", "age_s": "ageS"}
 ):
     name: cbor.Text
     type: cbor.Text
     zone: cbor.Text
     spot: bool
     status: cbor.Text
-    age: cbor.Number
+    age_s: cbor.Number
 
 
-class _Machines(msgspec.Struct, rename={"machines": "stacks"}):
-    machines: list[_Machine]
+class _ListAnswer(msgspec.Struct, rename={"machines": "stacks"}):
+    machines: list[_MachineRow]
     truncated: bool | None = None
 
 
+class _RentalRequest(
+    msgspec.Struct, rename={"name": "requisition", "type": "binding", "zone": "branch", "spot": "loaners"}
+):
+    name: str
+    type: str
+    zone: str
+    spot: bool
+    count: int
+
+
+class _DeletionRequest(msgspec.Struct, rename={"machines": "stacks"}):
+    machines: list[str]
+
+
 def parse_types(body: bytes) -> dict[str, MachineType]:
     """The machine types by name."""
     return {
@@ -78,32 +101,32 @@
             boot_s=row.boot_s,
             zones=row.zones,
         )
-        for row in cbor.decode(body, _Types).types
+        for row in cbor.decode(body, _TypesAnswer).types
     }
 
 
 def rental(name: str, type_name: str, zone: str, spot: bool, count: int) -> bytes:
-    """A rental request."""
-    return cbor.encode({"requisition": name, "binding": type_name, "branch": zone, "loaners": spot, "count": count})
+    """A rental request; repeated under the same name it rents nothing further."""
+    return cbor.encode_message(_RentalRequest(name, type_name, zone, spot, count))
 
 
 def parse_rented(body: bytes) -> tuple[str, ...]:
     """The machines that a rental request got."""
-    return cbor.decode(body, _Rented).machines
+    return cbor.decode(body, _RentalAnswer).machines
 
 
 def deletion(names: list[str]) -> bytes:
-    """A request to take machines back."""
-    return cbor.encode({"stacks": names})
+    """A request to delete machines."""
+    return cbor.encode_message(_DeletionRequest(names))
 
 
 def list_path(after: str) -> str:
     """The path of one page of the machine list."""
-    return f"{RENTALS_PATH}?after={after}&page={PAGE}" if after else f"{RENTALS_PATH}?page={PAGE}"
+    return f"{RENTALS_PATH}?after={after}&page={PAGE_LIMIT}" if after else f"{RENTALS_PATH}?page={PAGE_LIMIT}"
 
 
-def parse_list(body: bytes) -> tuple[list[ListedMachine], bool]:
-    """One page of the machine list, and whether more follows."""
-    page = cbor.decode(body, _Machines)
-    rows = [ListedMachine(row.name, row.type, row.zone, row.spot, row.status, row.age) for row in page.machines]
-    return rows, page.truncated is True
+def parse_list(body: bytes) -> MachinePage:
+    """One page of the list of machines."""
+    page = cbor.decode(body, _ListAnswer)
+    machines = [ListedMachine(row.name, row.type, row.zone, row.spot, row.status, row.age_s) for row in page.machines]
+    return MachinePage(machines, page.truncated is True)
--- a/src/passrock/wire/state.py
+++ b/src/passrock/wire/state.py
@@ -1,8 +1,8 @@
-"""The state service's calls."""
+"""The key-value store's calls (the protocol's state service): paths, bodies, and their types on the inner side."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -10,12 +10,12 @@
 
 LEASES_PATH = "/leases"
 COMMIT_PATH = "/commit"
-PAGE = 1000
+PAGE_LIMIT = 1000  # keys
 TXN_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have, keys and conditions apart
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """A key with its value and version."""
+    """A key with its value and the store's revision of its last change."""
 
     key: str
     value: Any
@@ -23,7 +23,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of a key; without ``present`` the key was deleted."""
+    """A change of a key as a watch reports it; without ``present`` the key was deleted."""
 
     key: str
     present: bool
@@ -48,40 +48,88 @@
 Write = Put | Delete
 
 
-class _Lease(msgspec.Struct):
-    loan: cbor.Count
+class EntryPage(NamedTuple):
+    """One page of the keys below a prefix."""
 
+    entries: list[Entry]
+    truncated: bool  # more keys follow
+    revision: int  # of the store when it made the page
 
-class _Revision(msgspec.Struct):
-    ledger: cbor.Count
 
+class ChangeBatch(NamedTuple):
+    """What a watch has seen: all changes after its start, up to a revision of the store."""
 
-class _Conflict(msgspec.Struct):
-    failed: tuple[cbor.TextOrEmpty, ...]
+    changes: list[Change]
+    revision: int
 
 
-class _Entry(msgspec.Struct, rename={"value": "v"}):
+class _LeaseAnswer(msgspec.Struct, rename={"lease": "loan"}):
+    lease: cbor.Count
+
+
+class _RevisionAnswer(msgspec.Struct, rename={"revision": "ledger"}):
+    revision: cbor.Count
+
+
+class _ConflictAnswer(msgspec.Struct, rename={"conflicting_keys": "failed"}):
+    conflicting_keys: tuple[cbor.TextOrEmpty, ...]
+
+
+class _EntryAnswer(msgspec.Struct, rename={"mod_revision": "stamp", "value": "v"}):
     key: cbor.Text
-    stamp: cbor.Count
+    mod_revision: cbor.Count
     value: object = None
 
+    def entry(self) -> Entry:
+        return Entry(self.key, self.value, self.mod_revision)
 
-class _Page(msgspec.Struct):
-    entries: list[_Entry]
-    ledger: cbor.Count
+
+class _PageAnswer(msgspec.Struct, rename={"revision": "ledger"}):
+    entries: list[_EntryAnswer]
+    revision: cbor.Count
     truncated: bool | None = None
 
 
-class _Event(msgspec.Struct, rename={"put": "set", "value": "v"}):
-    stamp: cbor.Count
-    put: cbor.Text | None = None
-    drop: cbor.Text | None = None
+class _Event(msgspec.Struct, rename={"mod_revision": "stamp", "put_key": "set", "deleted_key": "drop", "value": "v"}):
+    mod_revision: cbor.Count
+    put_key: cbor.Text | None = None
+    deleted_key: cbor.Text | None = None
     value: object = None
 
+    def change(self) -> Change:
+        key = self.deleted_key if self.put_key is None else self.put_key
+        if key is None:
+            raise cbor.MalformedBodyError("events: neither set nor drop")
+        return Change(key, self.put_key is not None, self.value, self.mod_revision)
+
 
-class _Changes(msgspec.Struct):
+class _WatchAnswer(msgspec.Struct, rename={"revision": "ledger"}):
     events: list[_Event]
-    ledger: cbor.Count
+    revision: cbor.Count
+
+
+class _Condition(msgspec.Struct, rename={"mod_revision": "stamp"}):
+    key: str
+    mod_revision: int
+
+
+class _PutRequest(msgspec.Struct, omit_defaults=True, rename={"key": "set", "value": "v", "lease": "loan"}):
+    key: str
+    value: Any
+    lease: int | None = None
+
+
+class _DeleteRequest(msgspec.Struct, rename={"key": "drop"}):
+    key: str
+
+
+class _Transaction(msgspec.Struct, rename={"conditions": "if", "writes": "apply"}):
+    conditions: list[_Condition]
+    writes: list[_PutRequest | _DeleteRequest]
+
+
+class _LeaseRequest(msgspec.Struct, rename={"ttl_ms": "lifeMs"}):
+    ttl_ms: int
 
 
 def get_path(key: str) -> str:
@@ -89,14 +137,14 @@
     return f"/kv/{key}"
 
 
-def list_path(prefix: str, after: str = "", limit: int = PAGE) -> str:
+def list_path(prefix: str, after: str = "", limit: int = PAGE_LIMIT) -> str:
     """The path of one page of keys."""
     tail = f"&after={after}" if after else ""
     return f"/kv?prefix={prefix}{tail}&page={limit}"
 
 
 def watch_path(prefix: str, after: int, wait_ms: int) -> str:
-    """The path of one wait for changes."""
+    """The path of one wait for changes after a revision."""
     return f"/changes?prefix={prefix}&after={after}&holdMs={wait_ms}"
 
 
@@ -111,63 +159,52 @@
 
 
 def commit(conditions: dict[str, int], writes: list[Write]) -> bytes:
-    """A transaction."""
-    apply: list[dict[str, Any]] = []
-    for write in writes:
-        if isinstance(write, Delete):
-            apply.append({"drop": write.key})
-        elif write.lease is None:
-            apply.append({"set": write.key, "v": write.value})
-        else:
-            apply.append({"set": write.key, "v": write.value, "loan": write.lease})
-    return cbor.encode(
-        {"if": [{"key": key, "stamp": mod_revision} for key, mod_revision in conditions.items()], "apply": apply}
+    """A transaction: the writes are applied if each key still has the revision that its condition names."""
+    message = _Transaction(
+        [_Condition(key, mod_revision) for key, mod_revision in conditions.items()],
+        [_write_request(write) for write in writes],
     )
+    return cbor.encode_message(message)
+
+
+def _write_request(write: Write) -> _PutRequest | _DeleteRequest:
+    if isinstance(write, Delete):
+        return _DeleteRequest(write.key)
+    return _PutRequest(write.key, write.value, write.lease)
 
 
 def lease_request(ttl_s: float) -> bytes:
     """A request for a new lease."""
-    return cbor.encode({"lifeMs": int(ttl_s * 1000)})
+    return cbor.encode_message(_LeaseRequest(int(ttl_s * 1000)))
 
 
 def parse_lease(body: bytes) -> int:
     """The number of a new lease."""
-    return cbor.decode(body, _Lease).loan
+    return cbor.decode(body, _LeaseAnswer).lease
 
 
 def parse_entry(body: bytes) -> Entry:
     """One key."""
-    return _entry(cbor.decode(body, _Entry))
+    return cbor.decode(body, _EntryAnswer).entry()
 
 
 def parse_revision(body: bytes) -> int:
     """The store's revision in any answer that carries it."""
-    return cbor.decode(body, _Revision).ledger
+    return cbor.decode(body, _RevisionAnswer).revision
 
 
 def parse_failed(body: bytes) -> tuple[str, ...]:
     """The keys whose conditions failed."""
-    return cbor.decode(body, _Conflict).failed
-
-
-def parse_page(body: bytes) -> tuple[list[Entry], bool, int]:
-    """A page of keys, whether more follow, and the revision."""
-    page = cbor.decode(body, _Page)
-    return [_entry(row) for row in page.entries], page.truncated is True, page.ledger
-
-
-def parse_changes(body: bytes) -> tuple[list[Change], int]:
-    """The changes of a watch and the revision up to which they go."""
-    message = cbor.decode(body, _Changes)
-    return [_change(event) for event in message.events], message.ledger
+    return cbor.decode(body, _ConflictAnswer).conflicting_keys
 
 
-def _entry(row: _Entry) -> Entry:
-    return Entry(row.key, row.value, row.stamp)
+def parse_page(body: bytes) -> EntryPage:
+    """A page of keys."""
+    page = cbor.decode(body, _PageAnswer)
+    return EntryPage([row.entry() for row in page.entries], page.truncated is True, page.revision)
 
 
-def _change(event: _Event) -> Change:
-    key = event.drop if event.put is None else event.put
-    if key is None:
-        raise cbor.MalformedBodyError("events: neither set nor drop")
-    return Change(key, event.put is not None, event.value, event.stamp)
+def parse_changes(body: bytes) -> ChangeBatch:
+    """The changes of a watch."""
+    message = cbor.decode(body, _WatchAnswer)
+    return ChangeBatch([event.change() for event in message.events], message.revision)
