--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -18,7 +18,8 @@
 from passrock.controller.leadership import Leadership
 from passrock.core.budget import rate_share
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.io.state import Committed, StateClient, StateError
+from passrock.io.errors import StoreError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug, error
 from passrock.settings import Settings
 from passrock.wire.state import Delete, Put, Write
@@ -37,7 +38,7 @@
         self,
         settings: Settings,
         admission: AdmissionSettings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         leadership: Leadership,
         store: AllocationStore,
         outcomes: SlotOutcomes,
@@ -67,7 +68,7 @@
             if slot is not None and self.leadership.holds_lease():
                 try:
                     await self.decide(slot)
-                except StateError as problem:
+                except StoreError as problem:
                     debug("allocation_failed", slot=slot, error=problem)
                 except Exception as problem:  # admission must never end the term of a leader that can place
                     error("allocation_failed", slot=slot, error=repr(problem))
@@ -113,7 +114,7 @@
         if isinstance(result, Committed):
             self.store.put(allocation, result.revision, len(pages))
         else:
-            debug("allocation_conflict", slot=slot, failed=result.failed)
+            debug("allocation_conflict", slot=slot, failed=result.conflicting_keys)
 
     def _allocate(self, slot: int, latest: Stored | None, over: list[Stored]) -> Allocation:
         """What the controllers may admit in a slot, with the service that flows have received."""
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -29,7 +29,7 @@
 from passrock.core.records import PERMIT_MARK, Permit
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import Peers
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
 from passrock.wire.state import Entry
@@ -50,7 +50,7 @@
         self,
         settings: Settings,
         admission: AdmissionSettings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         replica: Replica,
         leadership: Leadership,
         peers: Peers,
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -15,7 +15,8 @@
 from passrock.core.scaling import MachineCatalog
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
-from passrock.io.state import Committed, StateClient, StateError
+from passrock.io.errors import StoreError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
 from passrock.wire.state import TXN_BYTES, Entry, Put, Write
@@ -32,7 +33,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         leadership: Leadership,
         job_table: JobTable,
         inventory: MachineInventory,
@@ -154,7 +155,7 @@
             changes: list[Write] = [Put(key, changed[key]) for key in part]
             try:
                 result = await self.state.commit({keys.LEADER: self.leadership.leader_revision}, changes)
-            except StateError:
+            except StoreError:
                 return  # the next round writes what still differs
             if not isinstance(result, Committed):
                 self.leadership.step_down("leader key lost")
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -10,7 +10,8 @@
 from passrock.core.jobs import Job, JobTable, TaskPage
 from passrock.core.records import ATTEMPT_BYTES, CANCELLED, DONE, encode_spec
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
+from passrock.io.errors import StoreError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 from passrock.wire.state import Delete, Put, Write
 
@@ -39,7 +40,7 @@
 
     def __init__(
         self,
-        state: StateClient,
+        state: KeyValueStoreClient,
         job_table: JobTable,
         leader_revision: int,
         txn_ops: int,
@@ -144,7 +145,7 @@
         except UnknownOutcomeError:
             self.orphaned_keys += batch.orphaned_keys
             return await self._reread(batch)
-        except StateError as problem:
+        except StoreError as problem:
             debug("commit_failed", error=problem)
             self.orphaned_keys += batch.orphaned_keys
             return False
@@ -160,7 +161,7 @@
             self.on_commit()
             return True
         self.orphaned_keys += batch.orphaned_keys
-        if keys.LEADER in result.failed:
+        if keys.LEADER in result.conflicting_keys:
             self.on_lost()
             return False
         return await self._reread(batch)
@@ -194,6 +195,6 @@
                 mark, _ = await self.state.get(keys.cancel(job.spec.id))
                 if mark is not None and not job.cancelled:
                     self.job_table.cancel(job, monotonic_time() + mark.value["at"] - time_of_day())
-        except StateError:
+        except StoreError:
             return False
         return True
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -27,7 +27,7 @@
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.cloud import CloudClient
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import error, info
 from passrock.settings import Settings
 from passrock.wire.state import Entry
@@ -42,7 +42,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         replica: Replica,
         cancellations: Cancellations,
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -13,8 +13,9 @@
 from passrock.core.inventory import DRIFT, silence_limit
 from passrock.core.lost_workers import LostWorkers
 from passrock.io.clock import monotonic_time
+from passrock.io.errors import LeaseExpiredError, StoreError, UnknownOutcomeError
 from passrock.io.peers import PeerHeartbeat, Peers
-from passrock.io.state import Committed, LeaseEndedError, StateClient, StateError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
 from passrock.wire.state import Entry, Put
@@ -30,7 +31,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         replica: Replica,
         cancellations: Cancellations,
         rng: random.Random,
@@ -106,7 +107,7 @@
             return True
         if not self.leading or self.peers is None or self.known_term > self.term:
             return False
-        if not self.state.down(monotonic_time(), 0.0):
+        if not self.state.is_unavailable(monotonic_time(), 0.0):
             return False
         votes = 1
         for heartbeat, _ in self.peers.answers(monotonic_time() - self._support_s):
@@ -134,7 +135,7 @@
             return False
         if self.leading or self.peers is None or token < self.known_term or token == 0:
             return False
-        if not self.state.down(now, self.ttl / 4):
+        if not self.state.is_unavailable(now, self.ttl / 4):
             return False
         answers = self.peers.answers(now - self._support_s)
         if len(answers) + 1 < self.settings.nodes:
@@ -153,7 +154,7 @@
             if leading:
                 return max(leading, key=lambda heartbeat: heartbeat.term).node
         entry = self.replica.get(keys.LEADER)
-        if entry is None or not isinstance(entry.value, dict) or self.state.down(now, self.ttl):
+        if entry is None or not isinstance(entry.value, dict) or self.state.is_unavailable(now, self.ttl):
             return None
         node, term = entry.value.get("node"), entry.value.get("term")
         if not isinstance(node, str) or not isinstance(term, int) or term < self.known_term:
@@ -166,7 +167,7 @@
             node=self.settings.node,
             term=self.known_term,
             leading=self.leading,
-            state_down=self.state.down(monotonic_time(), self.ttl / 4),
+            state_down=self.state.is_unavailable(monotonic_time(), self.ttl / 4),
             has_read=self.replica.loaded,
             redirects=self.lost_workers.count(self.known_term, monotonic_time()),
             run=self.run_id,
@@ -220,7 +221,7 @@
     async def _end(self, lease: int) -> None:
         try:
             await self.state.end_lease(lease)
-        except StateError as problem:
+        except StoreError as problem:
             info("leader_lease_revocation_failed", error=problem)  # it runs out by itself
 
     def heard(self, heartbeat: PeerHeartbeat) -> None:
@@ -266,14 +267,14 @@
                 else:
                     await self._maybe_take()
                     await asyncio.sleep(self.ttl / 20)
-            except StateError:
+            except StoreError:
                 await asyncio.sleep(self.ttl / 10)
 
     async def _renew(self) -> None:
         started = monotonic_time()
         try:
             await self.state.renew(self._lease, timeout=self.ttl / 3)
-        except LeaseEndedError:
+        except LeaseExpiredError:
             self.step_down("lease ended")
             return
         if started >= self.deadline:  # was out of time: make sure that the key is still ours
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -20,11 +20,12 @@
 from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
-from passrock.io.cloud import CloudClient, CloudError
+from passrock.io.cloud import CloudClient
+from passrock.io.errors import CloudError, StoreError
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer, Request, Response
 from passrock.io.peers import Link, PeerLink, Peers
-from passrock.io.state import StateClient, StateError
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import debug, error, info, start_logging
 from passrock.settings import Settings, resource_warnings
 from passrock.wire import users as user_wire
@@ -47,7 +48,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         links: Sequence[Link],
         rng: random.Random,
@@ -153,7 +154,7 @@
         if not self.replica.loaded or not self.catalog.types:
             return False
         now = monotonic_time()
-        if not self.state.down(now, 1.5):
+        if not self.state.is_unavailable(now, 1.5):
             return True
         answers = self.peers.answers(now - 3.0)
         if any(not heartbeat.state_down for heartbeat, _ in answers):
@@ -200,7 +201,7 @@
     async def run(self) -> None:
         """Serve until killed."""
         settings = self.settings
-        server = HttpServer(self.handle, self.sockets, idle_s=60.0, head_s=settings.report_s * 4)
+        server = HttpServer(self.handle, self.sockets, idle_timeout_s=60.0, head_timeout_s=settings.report_s * 4)
         listening = await server.start(settings.client_listen.host, settings.client_listen.port)
         peer_listening = await self.peers.listen(settings.peer_listen)
         for warning in resource_warnings(settings):
@@ -260,16 +261,16 @@
         every = self.settings.leader_lease_s / 2
         while True:
             await asyncio.sleep(every)
-            if monotonic_time() - self.state.last_good > every:
+            if monotonic_time() - self.state.last_success_at > every:
                 try:
                     await self.state.get(keys.NOWHERE, timeout=every)
-                except StateError:
+                except StoreError:
                     continue
 
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
     """A node with real clients."""
-    state = StateClient(
+    state = KeyValueStoreClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, 2),
         Budget(settings.state_rps, settings.state_rps),
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -12,8 +12,9 @@
 from passrock.core.messages import ListedMachine
 from passrock.core.scaling import MOST_PER_RENTAL, MachineCatalog, Offer
 from passrock.io.clock import monotonic_time
-from passrock.io.cloud import CloudClient, CloudError, NoCapacityError
-from passrock.io.state import Committed, StateClient, StateError
+from passrock.io.cloud import CloudClient
+from passrock.io.errors import CloudError, NoCapacityError, StoreError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 from passrock.settings import Settings
 from passrock.wire.cloud import MAX_PER_DELETE
@@ -28,7 +29,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         catalog: MachineCatalog,
         inventory: MachineInventory,
@@ -84,7 +85,7 @@
                     self.leadership.step_down("leader key lost")
                     return
             await self._ask(name, offer, count)
-        except StateError as problem:
+        except StoreError as problem:
             debug("provisioning_intent_failed", request=name, error=problem)
         finally:
             self.pending.pop(offer, None)
@@ -122,7 +123,7 @@
             await asyncio.sleep(self.settings.list_lag_s * 4)
         try:
             await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
-        except StateError:
+        except StoreError:
             debug("provisioning_intent_kept", request=name)
 
     # -- giving back ------------------------------------------------------------------------------
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -10,7 +10,8 @@
 
 from passrock.controller import keys
 from passrock.io.clock import monotonic_time
-from passrock.io.state import CompactedError, StateClient, StateError
+from passrock.io.errors import CompactedError, StoreError
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info
 from passrock.wire.state import Change, Entry
 
@@ -37,7 +38,7 @@
 class Replica:
     """A copy of all keys but the final ones, which are only cached."""
 
-    def __init__(self, state: StateClient, finals_kept: int) -> None:
+    def __init__(self, state: KeyValueStoreClient, finals_kept: int) -> None:
         self.prefixes: tuple[str, ...] = LOADED  # subsystems add theirs before the copy is loaded
         self.state = state
         self.finals_kept = finals_kept
@@ -64,7 +65,7 @@
                 await asyncio.sleep(WATCH_GAP / self.state.requests.rate)
             except CompactedError:
                 self.loaded = False
-            except StateError:
+            except StoreError:
                 await asyncio.sleep(RETRY_S)
 
     async def _load(self) -> None:
@@ -154,7 +155,7 @@
 class ReadFence:
     """One read of the store's revision serves everyone who asked before it was sent."""
 
-    def __init__(self, state: StateClient, replica: Replica, gap: float) -> None:
+    def __init__(self, state: KeyValueStoreClient, replica: Replica, gap: float) -> None:
         self.state = state
         self.replica = replica
         self.gap = gap
@@ -181,7 +182,7 @@
         started = monotonic_time()
         try:
             _, revision = await self.state.get(keys.NOWHERE, timeout=1.0)
-        except StateError:
+        except StoreError:
             return False
         if not await self.replica.reach(revision, 0.7):
             return False
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -11,11 +11,12 @@
 from passrock.core.model import JobSpec
 from passrock.core.records import Permit
 from passrock.io.clock import time_of_day
-from passrock.io.state import Committed, Refused, StateClient, StateError
+from passrock.io.errors import StoreError
+from passrock.io.state import Committed, KeyValueStoreClient, TransactionConflict
 from passrock.wire.state import Put, Write
 
 
-class PermitLapsedError(StateError):
+class PermitLapsedError(StoreError):
     """What permitted the submission is no longer in force; nothing was accepted."""
 
 
@@ -32,7 +33,7 @@
             if not future.done():
                 future.set_result(accepted)
 
-    def fail(self, problem: StateError) -> None:
+    def fail(self, problem: StoreError) -> None:
         """Tell all that it was not accepted, or that nobody knows."""
         for future in self.futures:
             if not future.done():
@@ -48,14 +49,14 @@
 class Submitter:
     """Accepts jobs, several in one transaction when many come at once."""
 
-    def __init__(self, state: StateClient, txn_ops: int) -> None:
+    def __init__(self, state: KeyValueStoreClient, txn_ops: int) -> None:
         self.state = state
         self.most = max(1, txn_ops - 1)
         self.queue: list[Pending] = []
         self.busy = False
 
     async def submit(self, spec: JobSpec, permit: Permit | None = None) -> bool:
-        """True when accepted now, False when known already; raises StateError otherwise."""
+        """True when accepted now, False when known already; raises StoreError otherwise."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.queue.append(Pending(spec, permit, [future]))
         if not self.busy:
@@ -103,7 +104,7 @@
             writes.append(Put(keys.job(job_id), new_record(pending.spec, time_of_day(), mark)))
         try:
             result = await self.state.commit(conditions, writes)
-        except StateError as error:
+        except StoreError as error:
             for pending in batch:
                 pending.fail(error)
             return
@@ -113,9 +114,9 @@
         else:
             self._refused(batch, result)
 
-    def _refused(self, batch: list[Pending], result: Refused) -> None:
+    def _refused(self, batch: list[Pending], result: TransactionConflict) -> None:
         """Some condition failed and nothing was written: answer those it was, and try the others again."""
-        failed = set(result.failed)
+        failed = set(result.conflicting_keys)
         for pending in batch:
             job_id, permit = pending.spec.id, pending.permit
             if keys.job(job_id) in failed or keys.final(job_id) in failed:
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -19,8 +19,9 @@
 from passrock.core.scaling import MachineCatalog
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
+from passrock.io.errors import StoreError, UnknownOutcomeError
 from passrock.io.http_server import Request, Response
-from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug
 from passrock.settings import Settings
 from passrock.wire import users as wire
@@ -62,7 +63,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         replica: Replica,
         cancellations: Cancellations,
         catalog: MachineCatalog,
@@ -124,7 +125,7 @@
             response = await work
             failed = response.status >= 500
             return response
-        except (StateError, UnavailableError) as problem:
+        except (StoreError, UnavailableError) as problem:
             debug("user_request_unavailable", error=problem)
             return _refuse(limiter, 503)
         finally:
@@ -159,7 +160,7 @@
                 if known is not None:
                     return known
                 break
-            if self.state.down(monotonic_time(), 0.0):
+            if self.state.is_unavailable(monotonic_time(), 0.0):
                 raise UnavailableError("the state service is down")
         else:
             entry, _ = await self.state.get(keys.job(job_id), timeout=0.8)
@@ -223,7 +224,7 @@
     async def _known_or(self, job_id: str, refused: Response) -> Response:
         try:
             known = await self._look_up(job_id)
-        except (StateError, UnavailableError):
+        except (StoreError, UnavailableError):
             return refused
         return refused if known is None else Response(200, wire.brief_answer(job_id, known.status))
 
@@ -244,7 +245,7 @@
                 except PermitLapsedError:
                     unused = True
                     return _refuse(self.write_limiter, 429)
-                except StateError:
+                except StoreError:
                     unused = True
                     raise
                 known = await self._look_up(spec.id)
--- a/src/passrock/io/http_client.py
+++ b/src/passrock/io/http_client.py
@@ -6,120 +6,128 @@
 
 import httptools
 
+from passrock.io.errors import NoAnswerError, NotSentError
 from passrock.settings import Address
 
-
-class NoAnswerError(Exception):
-    """No usable response; the request may have been carried out, or may yet be."""
-
-
-class NotSentError(NoAnswerError):
-    """No connection: the request was never written."""
+REQUEST_TIMEOUT_S = 2.0
 
 
 class HttpClient:
     """Requests to one address, one at a time on each connection."""
 
-    def __init__(self, address: Address, most: int) -> None:
+    def __init__(self, address: Address, max_connections: int) -> None:
         self.address = address
-        self.idle: list[Exchange] = []
-        self.slots = asyncio.Semaphore(most)
+        self._idle_connections: list[ClientConnection] = []
+        self._connection_slots = asyncio.Semaphore(max_connections)
 
-    async def request(self, method: str, path: str, body: bytes = b"", timeout: float = 2.0) -> tuple[int, bytes]:
-        """Status and body; raises NoAnswerError."""
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout: float = REQUEST_TIMEOUT_S
+    ) -> tuple[int, bytes]:
+        """Status and body; raises NoAnswerError.
+
+        The time counts from the call on, with any wait for a connection.
+        """
+        call = f"{method} {path}"
         try:
             async with asyncio.timeout(timeout):
-                async with self.slots:
+                async with self._connection_slots:
                     return await self._exchange(method, path, body)
         except TimeoutError as error:
-            raise NoAnswerError("no response in time") from error
+            raise NoAnswerError("no response in time", call=call) from error
 
     async def _exchange(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        connection = None
-        while self.idle and connection is None:
-            connection = self.idle.pop()
-            if connection.closed:
-                connection = None
-        if connection is None:
-            loop = asyncio.get_running_loop()
-            try:
-                _, connection = await loop.create_connection(Exchange, self.address.host, self.address.port)
-            except OSError as error:
-                raise NotSentError(str(error)) from error
+        call = f"{method} {path}"
+        connection = self._take_idle() or await self._connect(call)
         head = (
-            f"{method} {path} HTTP/1.1\r\nHost: {self.address.host}:{self.address.port}\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n"
+            f"{call} HTTP/1.1\r\nHost: {self.address.host}:{self.address.port}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         try:
-            result = await connection.send(head.encode() + body)
-        except BaseException:
+            result = await connection.send(call, head.encode() + body)
+        except BaseException:  # a cancelled request too: its answer must not meet the next one
             connection.abort()
             raise
-        if connection.keep:
-            self.idle.append(connection)
+        if connection.keep_alive:
+            self._idle_connections.append(connection)
         else:
             connection.abort()
         return result
 
+    def _take_idle(self) -> ClientConnection | None:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if not connection.closed:
+                return connection
+        return None
+
+    async def _connect(self, call: str) -> ClientConnection:
+        loop = asyncio.get_running_loop()
+        try:
+            _, connection = await loop.create_connection(ClientConnection, self.address.host, self.address.port)
+        except OSError as error:
+            raise NotSentError(str(error), call=call) from error
+        return connection
+
 
-class Exchange(asyncio.Protocol):
-    """One connection to a server."""
+class ClientConnection(asyncio.Protocol):
+    """One connection to a server; a request at a time."""
 
     def __init__(self) -> None:
-        self.transport: asyncio.Transport | None = None
-        self.waiter: asyncio.Future[tuple[int, bytes]] | None = None
-        self.parser = httptools.HttpResponseParser(self)
-        self.body: list[bytes] = []
         self.closed = False
-        self.keep = True
+        self.keep_alive = True
+        self._transport: asyncio.Transport | None = None
+        self._parser = httptools.HttpResponseParser(self)
+        self._call = ""
+        self._response: asyncio.Future[tuple[int, bytes]] | None = None
+        self._body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
+        self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the transport; the connection has ended."""
         self.closed = True
-        self.fail("connection lost")
+        self._fail("connection lost")
 
     def abort(self) -> None:
         """Drop the connection."""
         self.closed = True
-        if self.transport is not None:
-            self.transport.abort()
-
-    def fail(self, reason: str) -> None:
-        """End the waiting request without an answer."""
-        if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_exception(NoAnswerError(reason))
-
-    async def send(self, data: bytes) -> tuple[int, bytes]:
-        """Write a request and wait for its response."""
-        if self.closed or self.transport is None:
-            raise NotSentError("connection closed")
-        self.waiter = asyncio.get_running_loop().create_future()
-        self.transport.write(data)
-        return await self.waiter
+        if self._transport is not None:
+            self._transport.abort()
+
+    async def send(self, call: str, data: bytes) -> tuple[int, bytes]:
+        """Write a request and wait for its response; ``call`` names it in errors."""
+        if self.closed or self._transport is None:
+            raise NotSentError("connection closed", call=call)
+        self._call = call
+        self._response = asyncio.get_running_loop().create_future()
+        self._transport.write(data)
+        return await self._response
 
     def data_received(self, data: bytes) -> None:
         """Take in what has arrived."""
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.fail(f"malformed response: {error}")
+            self._fail(f"malformed response: {error}")
             self.abort()
 
     def on_message_begin(self) -> None:
         """Begin a new message."""
-        self.body = []
+        self._body = []
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the body."""
-        self.body.append(body)
+        self._body.append(body)
 
     def on_message_complete(self) -> None:
         """Hand a whole message over."""
-        self.keep = self.parser.should_keep_alive()
-        if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_result((self.parser.get_status_code(), b"".join(self.body)))
+        self.keep_alive = self._parser.should_keep_alive()
+        if self._response is not None and not self._response.done():
+            self._response.set_result((self._parser.get_status_code(), b"".join(self._body)))
+
+    def _fail(self, reason: str) -> None:
+        """End the waiting request without an answer."""
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(NoAnswerError(reason, call=self._call))
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -9,9 +9,9 @@
 from passrock.controller.node import Node
 from passrock.core.budget import Budget
 from passrock.io.cloud import CloudClient
-from passrock.io.http_client import NoAnswerError
+from passrock.io.errors import NoAnswerError
 from passrock.io.http_server import Response
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
 from standins.deployment import node_table
@@ -109,7 +109,7 @@
         assert not faults, faults
         self.zone = settings.zone
         rng = random.Random(cluster.rng.random())
-        state = StateClient(
+        state = KeyValueStoreClient(
             ServiceLink(cluster, self, cluster.state, True),
             ServiceLink(cluster, self, cluster.state, True),
             Budget(100.0, 100.0),
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -14,8 +14,8 @@
 from passrock.admission.wire import allocation_record
 from passrock.controller import keys
 from passrock.core.records import PERMIT_MARK
+from passrock.io.errors import UnknownOutcomeError
 from passrock.io.peers import frame
-from passrock.io.state import UnknownOutcomeError
 from standins import virtual_time
 from standins.admission_load import ADMISSION, SLOT_S, Flood, flood_world, submit
 
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -62,7 +62,7 @@
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request
 from passrock.io.peers import PeerConnection, PeerHeartbeat, Peers, frame
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from passrock.wire import cloud, state, users, workers
 from standins import virtual_time
@@ -415,7 +415,7 @@
 
 
 def state_client(http):
-    return StateClient(http, http, Budget(1e4, 1e4), Budget(1e4, 1e4))
+    return KeyValueStoreClient(http, http, Budget(1e4, 1e4), Budget(1e4, 1e4))
 
 
 def cloud_client(http):
@@ -746,7 +746,7 @@
     async def main():
         entries = golden_entries("leadership")
         client = state_client(RecordingHttp())
-        client.last_good = 0.0
+        client.last_success_at = 0.0
         replica = make_replica(client, entries)
         leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
         for entry in entries:
@@ -1000,7 +1000,7 @@
 def test_an_unreadable_leader_key_names_no_leader(value):
     async def main():
         client = state_client(RecordingHttp())
-        client.last_good = 0.0
+        client.last_success_at = 0.0
         replica = make_replica(client, [state.Entry("p/lead", value, 7)])
         return Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5)).leader()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from passrock.io.http_client import HttpClient, NoAnswerError
+from passrock.io.errors import NoAnswerError
+from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer, Request, Response
 from passrock.settings import Address
 
@@ -24,7 +25,7 @@
 
 async def talk(raw: bytes) -> bytes:
     """Send raw bytes to a server and read until it closes."""
-    server = HttpServer(handler, limit=8, idle_s=0.1, head_s=0.2)
+    server = HttpServer(handler, connection_limit=8, idle_timeout_s=0.1, head_timeout_s=0.2)
     listening = await server.start("127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -66,7 +67,7 @@
 
 def test_connections_beyond_the_limit_displace_idle_ones():
     async def main():
-        server = HttpServer(handler, limit=2, idle_s=60, head_s=60)
+        server = HttpServer(handler, connection_limit=2, idle_timeout_s=60, head_timeout_s=60)
         listening = await server.start("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         opened = []
@@ -84,7 +85,7 @@
 
 def test_client_reuses_connections_and_reports_silence():
     async def main():
-        server = HttpServer(handler, limit=8, idle_s=60, head_s=60)
+        server = HttpServer(handler, connection_limit=8, idle_timeout_s=60, head_timeout_s=60)
         listening = await server.start("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         client = HttpClient(Address("127.0.0.1", port), 2)
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -10,7 +10,7 @@
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import DELETED_KEPT, MachineInventory
 from passrock.io.http_server import Request
-from passrock.io.state import Refused
+from passrock.io.state import TransactionConflict
 from passrock.wire.state import Put
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
@@ -50,7 +50,7 @@
 
     cluster, most, changed_at, late = virtual_time.run(main())
     assert most == 1 and changed_at < cluster.limits["lease_s"] / 2
-    assert isinstance(late, Refused) and late.failed == ("p/lead",)
+    assert isinstance(late, TransactionConflict) and late.conflicting_keys == ("p/lead",)
     assert cluster.checker.broken == []
 
 
