--- a/src/passrock/admission/controller/allocation_store.py
+++ b/src/passrock/admission/controller/allocation_store.py
@@ -1,4 +1,4 @@
-"""The allocations that stand in the state, put together from their pages."""
+"""The allocations in the store, put together from their pages."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from passrock.wire.state import Entry
 
 
-class Stored(msgspec.Struct, frozen=True):
-    """An allocation with the version of its record, which is that of all its pages."""
+class StoredAllocation(msgspec.Struct, frozen=True):
+    """An allocation with the revision of its record, which is that of all its pages."""
 
     allocation: Allocation
     mod_revision: int
@@ -24,14 +24,16 @@
 
 
 class AllocationStore:
-    """Follows the copy of the state; the first allocation that is read for a slot stays."""
+    """Follows the replica of the store; the first allocation that is read for a slot stays."""
 
-    def __init__(self, entries: Callable[[], Mapping[str, Entry]]) -> None:
+    def __init__(
+        self, entries: Callable[[], Mapping[str, Entry]], on_allocation: Callable[[Allocation], None]
+    ) -> None:
         self._entries = entries
-        self._stored: dict[int, Stored] = {}
-        self.opened: list[Callable[[Allocation], None]] = []
+        self._on_allocation = on_allocation
+        self._stored: dict[int, StoredAllocation] = {}
 
-    def changed(self, key: str, entry: Entry | None) -> None:
+    def on_change(self, key: str, entry: Entry | None) -> None:
         """A page was written or deleted."""
         place = keys.allocation_slot(key)
         if place is None:
@@ -43,7 +45,7 @@
             self._assemble(slot, entry)
 
     def put(self, allocation: Allocation, mod_revision: int, pages: int) -> None:
-        """This node's own commit, which its copy of the state will show later."""
+        """This node's own commit, which its replica will show later."""
         if allocation.slot not in self._stored:
             self._open(allocation, mod_revision, pages)
 
@@ -54,10 +56,10 @@
             return
         try:
             pages = [entries.get(keys.allocation(slot, page)) for page in range(page_count(head.value))]
-            whole = [page for page in pages if page is not None and page.mod_revision == head.mod_revision]
-            if len(whole) < len(pages):
+            complete = [page for page in pages if page is not None and page.mod_revision == head.mod_revision]
+            if len(complete) < len(pages):
                 return  # the others follow
-            allocation = decode_allocation([page.value for page in whole])
+            allocation = decode_allocation([page.value for page in complete])
             if allocation.slot != slot:
                 raise UnreadableAllocationError(f"it is that of slot {allocation.slot}")
         except UnreadableAllocationError as problem:
@@ -66,18 +68,17 @@
         self._open(allocation, head.mod_revision, len(pages))
 
     def _open(self, allocation: Allocation, mod_revision: int, pages: int) -> None:
-        self._stored[allocation.slot] = Stored(allocation, mod_revision, allocation.granted(), pages)
-        for callback in self.opened:
-            callback(allocation)
+        self._stored[allocation.slot] = StoredAllocation(allocation, mod_revision, allocation.granted(), pages)
+        self._on_allocation(allocation)
 
-    def get(self, slot: int) -> Stored | None:
+    def get(self, slot: int) -> StoredAllocation | None:
         """The allocation of a slot."""
         return self._stored.get(slot)
 
-    def latest(self) -> Stored | None:
+    def latest(self) -> StoredAllocation | None:
         """The allocation of the highest slot."""
         return self._stored[max(self._stored)] if self._stored else None
 
-    def up_to(self, slot: int) -> list[Stored]:
+    def up_to(self, slot: int) -> list[StoredAllocation]:
         """Allocations of this slot and earlier ones, oldest first."""
         return [self._stored[number] for number in sorted(self._stored) if number <= slot]
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from passrock.admission.controller.allocation_store import AllocationStore, Stored
+from passrock.admission.controller.allocation_store import AllocationStore, StoredAllocation
 from passrock.admission.controller.outcomes import SlotOutcomes
-from passrock.admission.core.allocation import Allocation, Allocator, Service, Shares
+from passrock.admission.core.allocation import Allocation, CapacityShares, FairShareAllocator, ReceivedService
 from passrock.admission.core.demand import DemandReport
-from passrock.admission.core.pace import Pace
+from passrock.admission.core.rate_pacer import RatePacer
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.allocation_record import encode_allocation
 from passrock.controller import keys
@@ -26,9 +26,9 @@
 
 DECIDE_AT = 0.5  # of a slot: from then on the next one is decided
 TOO_LATE = 0.9  # of a slot without an allocation: from then on it isn't worth one
-PACE_TARGET = 2.0  # report intervals: a task's start waits for a report of its machine anyway
+PACING_TARGET = 2.0  # heartbeat intervals: a task's start waits for a heartbeat of its machine anyway
 TICKS = 16  # in a slot, between looks whether one has to be decided
-SETTLED_AFTER = 2  # slots: by then everything admitted in a slot is in the copy of the state
+SETTLED_AFTER = 2  # slots: by then everything admitted in a slot is in the replica of the store
 
 
 class SlotAllocator:
@@ -53,11 +53,11 @@
         self.outcomes = outcomes
         self.own_demand = own_demand
         self.write_delay = write_delay
-        self.pace = Pace(settings.report_s * PACE_TARGET)
+        self.pacer = RatePacer(settings.report_s * PACING_TARGET)
         self.clock = outcomes.clock
         self.demand = outcomes.demand
         self.watch = outcomes.dispatch.watch
-        self.shares = Shares(admission.interactive_share, admission.burst_share, admission.interactive_most)
+        self.shares = CapacityShares(admission.interactive_share, admission.burst_share, admission.interactive_most)
         self._resumed = False
         self._last_sent = -math.inf  # the last slot of which a record was sent
 
@@ -92,12 +92,14 @@
         """Allocate a slot and commit it, unless any leader has done so before: what is committed stays."""
         latest = self.store.latest()
         if latest is not None and not self._resumed:
-            self.pace.part = latest.allocation.pace
+            self.pacer.share = latest.allocation.pacing_share
             self.watch.resume(latest.allocation.started)
-            self.demand.know_lives((node, column.life) for node, column in latest.allocation.columns.items())
+            self.demand.learn_incarnations(
+                (node, grant.incarnation) for node, grant in latest.allocation.node_grants.items()
+            )
         self._resumed = True
-        self.pace.measured(self.write_delay())
-        self.demand.take(self.own_demand(), self.leadership.term, monotonic_time())
+        self.pacer.record_delay(self.write_delay())
+        self.demand.update(self.own_demand(), self.leadership.term, monotonic_time())
         over = self.store.up_to(slot - SETTLED_AFTER)
         allocation = self._allocate(slot, latest, over)
         conditions = {keys.LEADER: self.leadership.leader_revision}
@@ -116,25 +118,25 @@
         else:
             debug("allocation_conflict", slot=slot, failed=result.conflicting_keys)
 
-    def _allocate(self, slot: int, latest: Stored | None, over: list[Stored]) -> Allocation:
+    def _allocate(self, slot: int, latest: StoredAllocation | None, over: list[StoredAllocation]) -> Allocation:
         """What the controllers may admit in a slot, with the service that flows have received."""
         demand = self.demand.demand(monotonic_time())
-        service = Service() if latest is None else self.outcomes.settle(latest, over)
+        service = ReceivedService() if latest is None else self.outcomes.settle(latest, over)
         self.outcomes.note_wanted(slot, demand.values())
-        lives = self.demand.lives()
-        capacity = self._capacity(slot, sorted(lives))
-        columns = Allocator(capacity, demand, service, self.outcomes.weights, self.shares).run()
-        for node, column in columns.items():
-            column.life = lives[node]
+        incarnations = self.demand.incarnations()
+        capacity = self._capacity(slot, sorted(incarnations))
+        node_grants = FairShareAllocator(capacity, demand, service, self.outcomes.weights, self.shares).run()
+        for node, grant in node_grants.items():
+            grant.incarnation = incarnations[node]
         node, term = self.settings.node, self.leadership.term
         settled, started = slot - SETTLED_AFTER, dict(self.watch.started)
-        return Allocation(slot, term, node, columns, service, settled, started, self.pace.part)
+        return Allocation(slot, term, node, node_grants, service, settled, started, self.pacer.share)
 
     def _capacity(self, slot: int, nodes: list[str]) -> dict[str, int]:
-        """How many submissions each controller's part of the state's write rate carries in the slot, or its rest."""
-        today = time_of_day()
-        rest = 1.0 - self.clock.elapsed(today) if self.clock.number(today) == slot else 1.0
-        writes = self.settings.state_write_rps * self.clock.length_s * rest * self.pace.part
+        """How many submissions each controller's part of the store's write rate carries in the slot, or its rest."""
+        wall_clock_now = time_of_day()
+        rest = 1.0 - self.clock.elapsed(wall_clock_now) if self.clock.number(wall_clock_now) == slot else 1.0
+        writes = self.settings.state_write_rps * self.clock.length_s * rest * self.pacer.share
         count = self.settings.nodes
         follower = writes * rate_share(False, count) * self.admission.intake_share
         leader = writes * rate_share(True, count) * self.admission.leader_intake_share
@@ -148,11 +150,11 @@
                 return pages
             shorten(allocation)
 
-    def _deletions(self, over: list[Stored], most: int) -> list[Write]:
+    def _deletions(self, over: list[StoredAllocation], limit: int) -> list[Write]:
         """Records that nobody may admit against any more, oldest first and each as a whole."""
         deletions: list[Write] = []
         for stored in over:
-            if len(deletions) + stored.pages > most:
+            if len(deletions) + stored.pages > limit:
                 break  # the rest goes with the next slot
             deletions += [Delete(keys.allocation(stored.allocation.slot, page)) for page in range(stored.pages)]
         return deletions
@@ -164,7 +166,7 @@
     allocation.service.flows = dict(service[: len(service) // 2])
     started = sorted(allocation.started.items(), key=lambda row: row[1])
     allocation.started = dict(started[: len(started) // 2])
-    for column in allocation.columns.values():
-        grants = list(column.flows.items())
-        column.flows = dict(grants[: len(grants) // 2])
-        column.shared += sum(units for _, units in grants[len(grants) // 2 :])
+    for grant in allocation.node_grants.values():
+        grants = list(grant.flows.items())
+        grant.flows = dict(grants[: len(grants) // 2])
+        grant.shared += sum(units for _, units in grants[len(grants) // 2 :])
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -1,21 +1,22 @@
-"""Admission on one controller: the gate, what is told to the peers, and the leader's part while this node leads."""
+"""Admission on one controller: decisions on submissions, demand told to peers, the leader's part while it leads."""
 
 from __future__ import annotations
 
 import asyncio
+import math
 import random
 from typing import TYPE_CHECKING
 
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
 from passrock.admission.controller.dispatch import Dispatch
-from passrock.admission.controller.intake import Intake
 from passrock.admission.controller.outcomes import SlotOutcomes
+from passrock.admission.controller.submission_admitter import SubmissionAdmitter
 from passrock.admission.core.admitted import AdmittedJobs
 from passrock.admission.core.decision import Decision
 from passrock.admission.core.demand import DemandReport, DemandTable
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants
+from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.admission.core.starvation import StartWatch
 from passrock.admission.settings import AdmissionSettings
@@ -26,7 +27,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.core.model import JobSpec
-from passrock.core.records import PERMIT_MARK, Permit
+from passrock.core.records import GRANT_REFERENCE, AdmissionToken
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import Peers
 from passrock.io.state import KeyValueStoreClient
@@ -39,8 +40,8 @@
 
 NAME = "admission"
 DEMAND_KEPT_SLOTS = 2.0
-COMPLAIN_EVERY_S = 10.0  # a log line on malformed reports at most this often
-REPORTS_EVERY = 0.3  # of the report interval, between two reckonings of what is told to the peers
+MALFORMED_LOG_INTERVAL_S = 10.0  # a log line on malformed reports at most this often
+MESSAGE_INTERVAL_RATIO = 0.3  # of the heartbeat interval, between two messages to the peers
 
 
 class AdmissionControl:
@@ -70,19 +71,19 @@
             admission.class_weights,
             admission.interactive_ratio,
         )
-        self.life = leadership.run_id
-        self.store = AllocationStore(lambda: replica.entries)
-        self.grants = Grants(settings.node, self.life)
-        self.intake = Intake(self.clock, self.grants, self.store, self.weights, rng)
+        self.incarnation = leadership.run_id
+        self.grants = GrantLedger(settings.node, self.incarnation)
+        self.store = AllocationStore(lambda: replica.entries, on_allocation=self.grants.add)
+        self.admitter = SubmissionAdmitter(self.clock, self.grants, self.store, self.weights, rng)
         self.admitted = AdmittedJobs()
         self.demand = DemandTable(DEMAND_KEPT_SLOTS * self.clock.length_s)
         self._deciding: asyncio.Task[None] | None = None
         self._started_ms = int(time_of_day() * 1000)
         self._report: DemandReport | None = None
-        self._reported_at = -1e9
+        self._message_made_at = -math.inf
         self._message = b""
         self._reports = 0
-        self._complained_at = -1e9
+        self._malformed_logged_at = -math.inf
         replica.listeners.append(self._changed)
         self.log = self._open_log()
 
@@ -93,31 +94,31 @@
 
         return DecisionLog(self.admission.log_dir, int(self.admission.log_mb * 1e6), self._started_ms)
 
-    # -- the copy of the state ------------------------------------------------------------------------
+    # -- the replica of the store ------------------------------------------------------------------------
 
     def _changed(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.ALLOCATION):
-            self.store.changed(key, entry)
+            self.store.on_change(key, entry)
         elif key.startswith(keys.JOB) and entry is not None:
             self._accepted(key[len(keys.JOB) :], entry)
 
     def _accepted(self, job_id: str, entry: Entry) -> None:
         """A job's record: whichever controller accepted it, its user will not come again here."""
-        self.intake.demand.accepted_anywhere(job_id)
-        mark = entry.value.get(PERMIT_MARK)
-        if isinstance(mark, list) and mark and isinstance(mark[0], int):
+        self.admitter.demand.accepted_anywhere(job_id)
+        reference = entry.value.get(GRANT_REFERENCE)
+        if isinstance(reference, list) and reference and isinstance(reference[0], int):
             spec = entry.value["s"]
-            self.admitted.note(job_id, Flow(spec["t"], spec["c"]), mark[0])
+            self.admitted.note(job_id, Flow(spec["t"], spec["c"]), reference[0])
 
-    # -- the gate ---------------------------------------------------------------------------------------
+    # -- submissions ---------------------------------------------------------------------------------------
 
-    def decide(self, spec: JobSpec) -> Permit | Refusal | None:
-        """Whether a submission is taken in; None where nobody decides slots."""
-        return self.intake.decide(spec) if self._in_force() else None
+    def decide(self, spec: JobSpec) -> AdmissionToken | Refusal | None:
+        """A token for the submission or a refusal; None where nobody decides slots."""
+        return self.admitter.decide(spec) if self._in_force() else None
 
-    def concluded(self, spec: JobSpec, unused: bool) -> None:
-        """A request that had been permitted is over."""
-        self.intake.concluded(spec, unused)
+    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+        """A request with an admission token is over."""
+        self.admitter.request_finished(spec, unused)
 
     def _in_force(self) -> bool:
         """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
@@ -134,17 +135,17 @@
     def report(self) -> DemandReport:
         """This controller's demand as of now."""
         now = time_of_day()
-        flows = self.intake.demand.demand(self.clock.number(now), now)
+        flows = self.admitter.demand.demand(self.clock.number(now), now)
         self._reports += 1
         return DemandReport(
-            self.settings.node, self.life, self._started_ms, self._reports, self.leadership.known_term, flows
+            self.settings.node, self.incarnation, self._started_ms, self._reports, self.leadership.known_term, flows
         )
 
     def outgoing(self) -> bytes:
-        """The demand for the peers, reckoned anew at intervals."""
+        """The demand for the peers, made anew at intervals."""
         now = monotonic_time()
-        if now - self._reported_at >= self.settings.report_s * REPORTS_EVERY or not self._message:
-            self._reported_at = now
+        if now - self._message_made_at >= self.settings.report_s * MESSAGE_INTERVAL_RATIO or not self._message:
+            self._message_made_at = now
             self._message = encode_demand(self.report())
         return self._message
 
@@ -154,11 +155,11 @@
             report = decode_demand(node, data)
         except MalformedDemandError as problem:
             now = monotonic_time()
-            if now - self._complained_at >= COMPLAIN_EVERY_S:
-                self._complained_at = now
+            if now - self._malformed_logged_at >= MALFORMED_LOG_INTERVAL_S:
+                self._malformed_logged_at = now
                 info("demand_report_malformed", node=node, error=problem)
             return
-        self.demand.take(report, self.leadership.known_term, monotonic_time())
+        self.demand.update(report, self.leadership.known_term, monotonic_time())
 
     # -- leading ---------------------------------------------------------------------------------------------
 
@@ -169,7 +170,7 @@
         dispatch = Dispatch(
             watch, admission.window_s, admission.window_s * admission.protect_ratio, self.settings.report_s
         )
-        outcomes = SlotOutcomes(self.clock, self.weights, self.admitted, self.demand, dispatch, self._concluded)
+        outcomes = SlotOutcomes(self.clock, self.weights, self.admitted, self.demand, dispatch, self._keep_decision)
         allocator = SlotAllocator(
             self.settings,
             admission,
@@ -183,7 +184,7 @@
         term.on_evaluated = dispatch.evaluated
         self._deciding = asyncio.ensure_future(self._decide(term, allocator))
 
-    def _concluded(self, decision: Decision) -> None:
+    def _keep_decision(self, decision: Decision) -> None:
         if self.log is not None:
             self.log.add(decision)
 
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -45,7 +45,7 @@
         self._looked_at = now
         self._note_starts(today)
         self.waits = self.watch.look(self._waiting(scheduler, now))
-        favoured = self.watch.favoured(self.waits, today, max(1, len(scheduler.usable) // MOST_FAVOURED_PART))
+        favoured = self.watch.prioritized(self.waits, today, max(1, len(scheduler.usable) // MOST_FAVOURED_PART))
         under_way = {flow_of(attempt.job) for attempt in self._placed}
         favoured = [wait for wait in favoured if wait.flow not in under_way]
         self._tell_new(favoured, scheduler.favoured, today)
--- a/src/passrock/admission/controller/intake.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -1,4 +1,4 @@
-"""The gate of one controller: which submissions are taken in, by the grants of the present slot."""
+"""Admission on one controller: which submissions are admitted, by the grants of the present slot."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 import msgspec
 
 from passrock.admission.controller.allocation_store import AllocationStore
-from passrock.admission.core.allocation import SMALL_FLOW, Allocation
+from passrock.admission.core.allocation import SMALL_FLOW
 from passrock.admission.core.demand import DemandCounter
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants, Spent
+from passrock.admission.core.grants import ConsumedGrant, GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.controller import keys
 from passrock.controller.intake import Refusal
 from passrock.core.limiter import RETRY_LEAST_S, RETRY_MOST_S
 from passrock.core.model import JobSpec
-from passrock.core.records import Permit
+from passrock.core.records import AdmissionToken
 from passrock.io.clock import time_of_day
 
 SLOTS_TO_RETURN = 2  # after the time that a user was told: by then it has come again or given up
 
 
-class Admitted(msgspec.Struct):
-    """A submission on its way to the state service, and how many requests wait for it."""
+class PendingAdmission(msgspec.Struct):
+    """A submission on its way to the store, and how many requests wait for it."""
 
-    permit: Permit
-    spent: Spent
+    admission_token: AdmissionToken
+    consumed_grant: ConsumedGrant
     requests: int
     used: bool = False  # by a request that was accepted, or of which nobody knows
 
 
-class Intake:
+class SubmissionAdmitter:
     """Admits submissions against grants, each job once, and counts the others as demand."""
 
     def __init__(
-        self, clock: SlotClock, grants: Grants, store: AllocationStore, weights: Weights, rng: random.Random
+        self, clock: SlotClock, grants: GrantLedger, store: AllocationStore, weights: Weights, rng: random.Random
     ) -> None:
         self.clock = clock
         self.grants = grants
@@ -44,50 +44,48 @@
         self.weights = weights
         self.rng = rng
         self.demand = DemandCounter()
-        self._under_way: dict[str, Admitted] = {}
-        store.opened.append(self._opened)
+        self._in_progress: dict[str, PendingAdmission] = {}
 
-    def _opened(self, allocation: Allocation) -> None:
-        self.grants.open(allocation)
-
-    def decide(self, spec: JobSpec) -> Permit | Refusal:
+    def decide(self, spec: JobSpec) -> AdmissionToken | Refusal:
         """Admit a submission of a job that isn't known, or say when to come back."""
-        known = self._under_way.get(spec.id)
+        known = self._in_progress.get(spec.id)
         if known is not None:  # a retry that meets the first attempt: one acceptance, one unit
             known.requests += 1
-            return known.permit
+            return known.admission_token
         now = time_of_day()
         slot = self.clock.number(now)
         flow = Flow(spec.team, spec.job_class)
         stored = self.store.get(slot)
-        spent = self.grants.take(slot, flow, self.weights.is_interactive(flow)) if stored is not None else None
-        if stored is None or spent is None:
+        consumed = self.grants.consume(slot, flow, self.weights.is_interactive(flow)) if stored is not None else None
+        if stored is None or consumed is None:
             return self._refuse(spec.id, flow, slot, now)
-        self.demand.admitted(spec.id, flow, slot)
-        permit = Permit(keys.allocation(slot, 0), stored.mod_revision, [slot, self.grants.life])
-        self._under_way[spec.id] = Admitted(permit, spent, 1)
-        return permit
-
-    def concluded(self, spec: JobSpec, unused: bool) -> None:
-        """A request that had been permitted is over; ``unused`` when it is certain that it accepted nothing."""
-        admitted = self._under_way.get(spec.id)
-        if admitted is None:
+        self.demand.record_admitted(spec.id, flow, slot)
+        admission_token = AdmissionToken(
+            keys.allocation(slot, 0), stored.mod_revision, [slot, self.grants.incarnation]
+        )
+        self._in_progress[spec.id] = PendingAdmission(admission_token, consumed, 1)
+        return admission_token
+
+    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+        """A request with an admission token is over; ``unused`` when it is certain that it accepted nothing."""
+        pending = self._in_progress.get(spec.id)
+        if pending is None:
             return
-        admitted.requests -= 1
-        admitted.used = admitted.used or not unused
-        if admitted.requests > 0:
+        pending.requests -= 1
+        pending.used = pending.used or not unused
+        if pending.requests > 0:
             return
-        del self._under_way[spec.id]
-        if not admitted.used:
-            self.grants.give_back(admitted.spent)
+        del self._in_progress[spec.id]
+        if not pending.used:
+            self.grants.restore(pending.consumed_grant)
 
     def _refuse(self, job_id: str, flow: Flow, slot: int, now: float) -> Refusal:
-        wait = self._come_back_s(flow, slot, now)
+        wait = self._retry_after_s(flow, slot, now)
         until = now + wait + SLOTS_TO_RETURN * self.clock.length_s
-        self.demand.refused(job_id, flow, slot, now, until)
+        self.demand.record_refused(job_id, flow, slot, now, until)
         return Refusal(wait)
 
-    def _come_back_s(self, flow: Flow, slot: int, now: float) -> int:
+    def _retry_after_s(self, flow: Flow, slot: int, now: float) -> int:
         """When the flow's queue is likely to have come to this submission, at the rate of its present grant."""
         following = self.clock.until(slot + 1, now)
         stored = self.store.get(slot)
--- a/src/passrock/admission/core/admitted.py
+++ b/src/passrock/admission/core/admitted.py
@@ -1,4 +1,4 @@
-"""What was admitted in each slot, read from the marks in the records of accepted jobs."""
+"""What was admitted in each slot, read from the references to grants in the records of accepted jobs."""
 
 from __future__ import annotations
 
--- a/src/passrock/admission/core/demand.py
+++ b/src/passrock/admission/core/demand.py
@@ -9,7 +9,7 @@
 
 from passrock.admission.core.flows import Flow
 
-MOST_WAITING = 20_000  # refused submissions that one controller remembers
+MAX_WAITING = 20_000  # refused submissions that one controller remembers
 
 
 class FlowDemand(msgspec.Struct, frozen=True):
@@ -30,20 +30,20 @@
     """One controller's demand; a later one replaces it."""
 
     node: str
-    life: int
-    started_ms: int  # the time of day at which this life began: tells lives of a node apart by age
+    incarnation: int
+    started_ms: int  # the time of day at which this incarnation began: tells incarnations of a node apart by age
     number: int
     term: int
     flows: dict[Flow, FlowDemand]
-    left_out: int = 0  # flows that found no room in the message
+    omitted_flows: int = 0  # flows that didn't fit into the message
 
     @property
     def age_key(self) -> tuple[int, int]:
-        """Larger is newer, also across lives of the node."""
+        """Larger is newer, also across incarnations of the node."""
         return self.started_ms, self.number
 
 
-class Refused(msgspec.Struct):
+class DeferredSubmission(msgspec.Struct):
     """A submission that was refused and may come again."""
 
     flow: Flow
@@ -55,42 +55,42 @@
     """Counts one controller's submissions."""
 
     def __init__(self) -> None:
-        self._waiting: OrderedDict[str, Refused] = OrderedDict()
-        self._count: dict[Flow, int] = {}  # of those waiting
+        self._waiting: OrderedDict[str, DeferredSubmission] = OrderedDict()
+        self._waiting_by_flow: dict[Flow, int] = {}
         self._slot = 0
         self._arrived: dict[Flow, int] = {}
-        self._arrived_before: dict[Flow, int] = {}
+        self._arrived_previous: dict[Flow, int] = {}
         self._refused: dict[Flow, int] = {}
-        self._refused_before: dict[Flow, int] = {}
+        self._refused_previous: dict[Flow, int] = {}
 
-    def _enter(self, slot: int) -> None:
+    def _advance_to(self, slot: int) -> None:
         if slot == self._slot:
             return
         follows = slot == self._slot + 1
-        self._arrived_before = self._arrived if follows else {}
-        self._refused_before = self._refused if follows else {}
+        self._arrived_previous = self._arrived if follows else {}
+        self._refused_previous = self._refused if follows else {}
         self._arrived, self._refused = {}, {}
         self._slot = slot
 
-    def _forget(self, job_id: str) -> bool:
-        """Wait for a submission no longer; whether it was waited for."""
+    def _stop_waiting(self, job_id: str) -> bool:
+        """Expect a submission no longer; whether it was expected."""
         known = self._waiting.pop(job_id, None)
         if known is None:
             return False
-        self._count[known.flow] -= 1
-        if self._count[known.flow] == 0:
-            del self._count[known.flow]
+        self._waiting_by_flow[known.flow] -= 1
+        if self._waiting_by_flow[known.flow] == 0:
+            del self._waiting_by_flow[known.flow]
         return True
 
-    def admitted(self, job_id: str, flow: Flow, slot: int) -> None:
+    def record_admitted(self, job_id: str, flow: Flow, slot: int) -> None:
         """A submission had a grant."""
-        self._enter(slot)
-        if not self._forget(job_id):
+        self._advance_to(slot)
+        if not self._stop_waiting(job_id):
             self._arrived[flow] = self._arrived.get(flow, 0) + 1
 
-    def refused(self, job_id: str, flow: Flow, slot: int, now: float, until: float) -> None:
+    def record_refused(self, job_id: str, flow: Flow, slot: int, now: float, until: float) -> None:
         """A submission was refused; its user may come again by ``until``."""
-        self._enter(slot)
+        self._advance_to(slot)
         self._refused[flow] = self._refused.get(flow, 0) + 1
         known = self._waiting.get(job_id)
         if known is not None:
@@ -98,34 +98,34 @@
             self._waiting.move_to_end(job_id)
             return
         self._arrived[flow] = self._arrived.get(flow, 0) + 1
-        self._waiting[job_id] = Refused(flow, now, until)
-        self._count[flow] = self._count.get(flow, 0) + 1
-        if len(self._waiting) > MOST_WAITING:
-            self._forget(next(iter(self._waiting)))
+        self._waiting[job_id] = DeferredSubmission(flow, now, until)
+        self._waiting_by_flow[flow] = self._waiting_by_flow.get(flow, 0) + 1
+        if len(self._waiting) > MAX_WAITING:
+            self._stop_waiting(next(iter(self._waiting)))
 
     def accepted_anywhere(self, job_id: str) -> None:
         """Some controller has accepted the job: it will not come again here."""
-        self._forget(job_id)
+        self._stop_waiting(job_id)
 
     def waiting(self, flow: Flow) -> int:
         """How many of a flow wait to come again."""
-        return self._count.get(flow, 0)
+        return self._waiting_by_flow.get(flow, 0)
 
     def demand(self, slot: int, now: float) -> dict[Flow, FlowDemand]:
         """What each flow asks for, with those that were not heard of again left out."""
-        self._enter(slot)
+        self._advance_to(slot)
         for job_id in [job_id for job_id, one in self._waiting.items() if one.until < now]:
-            self._forget(job_id)
-        waiting = self._count
+            self._stop_waiting(job_id)
+        waiting = self._waiting_by_flow
         oldest: dict[Flow, float] = {}
         for one in self._waiting.values():
             oldest[one.flow] = max(oldest.get(one.flow, 0.0), now - one.since)
-        flows = {*waiting, *self._arrived, *self._arrived_before, *self._refused, *self._refused_before}
+        flows = {*waiting, *self._arrived, *self._arrived_previous, *self._refused, *self._refused_previous}
         return {
             flow: FlowDemand(
                 waiting.get(flow, 0),
-                max(self._arrived.get(flow, 0), self._arrived_before.get(flow, 0)),
-                self._refused_before.get(flow, 0),
+                max(self._arrived.get(flow, 0), self._arrived_previous.get(flow, 0)),
+                self._refused_previous.get(flow, 0),
                 oldest.get(flow, 0.0),
             )
             for flow in flows
@@ -135,12 +135,12 @@
 class DemandTable:
     """The newest demand of each controller, as the leader knows it."""
 
-    def __init__(self, keep_s: float) -> None:
-        self.keep_s = keep_s
+    def __init__(self, max_age_s: float) -> None:
+        self.max_age_s = max_age_s
         self._reports: dict[str, tuple[DemandReport, float]] = {}
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
 
-    def take(self, report: DemandReport, term: int, now: float) -> bool:
+    def update(self, report: DemandReport, term: int, now: float) -> bool:
         """Take in a report; False for one of an older term, a repeated one, or one that a newer one has overtaken."""
         if report.term < term:
             return False
@@ -148,18 +148,18 @@
         if known is not None and report.age_key <= known[0].age_key:
             return False
         self._reports[report.node] = (report, now)
-        self._lives[report.node] = report.life
+        self._incarnations[report.node] = report.incarnation
         return True
 
-    def lives(self) -> dict[str, int]:
-        """The last known life of each controller."""
-        return dict(self._lives)
+    def incarnations(self) -> dict[str, int]:
+        """The last known incarnation of each controller."""
+        return dict(self._incarnations)
 
-    def know_lives(self, lives: Iterable[tuple[str, int]]) -> None:
+    def learn_incarnations(self, incarnations: Iterable[tuple[str, int]]) -> None:
         """Lives that an earlier leader knew; a report counts for more."""
-        for node, life in lives:
-            self._lives.setdefault(node, life)
+        for node, incarnation in incarnations:
+            self._incarnations.setdefault(node, incarnation)
 
     def demand(self, now: float) -> dict[str, dict[Flow, FlowDemand]]:
         """Each controller's demand, as far as it was heard of lately."""
-        return {node: report.flows for node, (report, at) in self._reports.items() if now - at <= self.keep_s}
+        return {node: report.flows for node, (report, at) in self._reports.items() if now - at <= self.max_age_s}
--- a/src/passrock/admission/core/flows.py
+++ b/src/passrock/admission/core/flows.py
@@ -1,4 +1,4 @@
-"""Flows, which share the capacity of intake, and their weights."""
+"""Flows, which share the capacity of admission, and their weights."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from passrock.core.model import Team
 from passrock.core.objectives import Objective
 
-ELASTIC_PART = 0.25  # of the least guarantee: the weight of a team without any
+NO_GUARANTEE_RATIO = 0.25  # of the smallest guarantee: the weight of a team without any
 DEFAULT_WEIGHT = 1.0
 
 
@@ -32,13 +32,13 @@
         interactive_ratio: float,
     ) -> None:
         self._teams = {**_guarantees(teams), **team_weights}
-        self._least = min(self._teams.values(), default=DEFAULT_WEIGHT)
+        self._smallest_weight = min(self._teams.values(), default=DEFAULT_WEIGHT)
         self._classes = dict(class_weights)
         self._interactive = interactive_classes(objectives, interactive_ratio)
 
     def team(self, name: str) -> float:
-        """A team's weight; one that the settings no longer name counts like the least."""
-        return self._teams.get(name, self._least)
+        """A team's weight; one that the settings no longer name counts like the smallest."""
+        return self._teams.get(name, self._smallest_weight)
 
     def job_class(self, name: str) -> float:
         """The weight of a class among those of its team."""
@@ -58,17 +58,19 @@
     """Teams by guarantee: GPUs where any team has some guaranteed, CPUs otherwise."""
     by_gpus = any(team.gpus > 0 for team in teams.values())
     amounts = {name: team.gpus if by_gpus else team.cpus for name, team in teams.items()}
-    least = min((amount for amount in amounts.values() if amount > 0), default=None)
-    if least is None:
+    smallest = min((amount for amount in amounts.values() if amount > 0), default=None)
+    if smallest is None:
         return dict.fromkeys(amounts, DEFAULT_WEIGHT)
-    return {name: amount if amount > 0 else least * ELASTIC_PART for name, amount in amounts.items()}
+    return {name: amount if amount > 0 else smallest * NO_GUARANTEE_RATIO for name, amount in amounts.items()}
 
 
 def interactive_classes(objectives: Iterable[Objective], ratio: float) -> frozenset[str]:
-    """The classes whose shortest aim on waiting is up to ``ratio`` times the shortest of all."""
+    """The classes whose shortest objective on waiting is up to ``ratio`` times the shortest of all."""
     shortest: dict[str, float] = {}
-    for aim in objectives:
-        if aim.kind == "wait" and aim.job_class:
-            shortest[aim.job_class] = min(aim.within_s, shortest.get(aim.job_class, aim.within_s))
-    most = ratio * min(shortest.values(), default=0.0)
-    return frozenset(name for name, within in shortest.items() if within <= most)
+    for objective in objectives:
+        if objective.kind == "wait" and objective.job_class:
+            shortest[objective.job_class] = min(
+                objective.within_s, shortest.get(objective.job_class, objective.within_s)
+            )
+    longest = ratio * min(shortest.values(), default=0.0)
+    return frozenset(name for name, within in shortest.items() if within <= longest)
--- a/src/passrock/admission/core/grants.py
+++ b/src/passrock/admission/core/grants.py
@@ -6,80 +6,82 @@
 
 import msgspec
 
-from passrock.admission.core.allocation import Allocation, Column
+from passrock.admission.core.allocation import Allocation, NodeGrant
 from passrock.admission.core.flows import Flow
 
 SLOTS_KEPT = 4
 
 
-class Source(Enum):
-    """Which part of a column a submission was admitted on."""
+class GrantSource(Enum):
+    """Which part of a controller's grant a submission was admitted on."""
 
     FLOW = auto()
     INTERACTIVE = auto()
     SHARED = auto()
 
 
-class Spent(msgspec.Struct, frozen=True):
-    """One unit taken, so that it can be given back."""
+class ConsumedGrant(msgspec.Struct, frozen=True):
+    """One unit that was consumed, so that it can be restored."""
 
     slot: int
     flow: Flow
-    source: Source
+    source: GrantSource
 
 
-class Grants:
-    """The grants of one life of a controller, by slot. Each unit is spent once."""
+class GrantLedger:
+    """The grants of one incarnation of a controller, by slot. Each unit is consumed once."""
 
-    def __init__(self, node: str, life: int) -> None:
+    def __init__(self, node: str, incarnation: int) -> None:
         self.node = node
-        self.life = life
-        self._left: dict[int, Column] = {}
+        self.incarnation = incarnation
+        self._remaining: dict[int, NodeGrant] = {}
 
-    def open(self, allocation: Allocation) -> None:
-        """Take in an allocation; the first one read for a slot is the only one there is."""
-        if allocation.slot in self._left:
+    def add(self, allocation: Allocation) -> None:
+        """Add this controller's grants in an allocation; the first one read for a slot is the only one there is."""
+        if allocation.slot in self._remaining:
             return
-        column = allocation.columns.get(self.node)
-        if column is None or column.life != self.life:
-            return  # meant for a former life, which may still have submissions under way
-        self._left[allocation.slot] = Column(column.life, column.interactive, column.shared, dict(column.flows))
-        while len(self._left) > SLOTS_KEPT:
-            del self._left[min(self._left)]
+        grant = allocation.node_grants.get(self.node)
+        if grant is None or grant.incarnation != self.incarnation:
+            return  # meant for a former incarnation, which may still have submissions under way
+        self._remaining[allocation.slot] = NodeGrant(
+            grant.incarnation, grant.interactive, grant.shared, dict(grant.flows)
+        )
+        while len(self._remaining) > SLOTS_KEPT:
+            del self._remaining[min(self._remaining)]
 
     def has(self, slot: int) -> bool:
-        """Whether this life has any grants for the slot."""
-        return slot in self._left
+        """Whether this incarnation has any grants for the slot."""
+        return slot in self._remaining
 
-    def take(self, slot: int, flow: Flow, interactive: bool) -> Spent | None:
-        """Spend one unit: the flow's own grant first, then the reserves that are open to it."""
-        column = self._left.get(slot)
-        if column is None:
+    def consume(self, slot: int, flow: Flow, interactive: bool) -> ConsumedGrant | None:
+        """Consume one unit: the flow's own grant first, then the reserves that are open to it."""
+        grant = self._remaining.get(slot)
+        if grant is None:
             return None
-        if column.flows.get(flow, 0) > 0:
-            column.flows[flow] -= 1
-            return Spent(slot, flow, Source.FLOW)
-        if interactive and column.interactive > 0:
-            column.interactive -= 1
-            return Spent(slot, flow, Source.INTERACTIVE)
-        if column.shared > 0:
-            column.shared -= 1
-            return Spent(slot, flow, Source.SHARED)
+        if grant.flows.get(flow, 0) > 0:
+            grant.flows[flow] -= 1
+            return ConsumedGrant(slot, flow, GrantSource.FLOW)
+        if interactive and grant.interactive > 0:
+            grant.interactive -= 1
+            return ConsumedGrant(slot, flow, GrantSource.INTERACTIVE)
+        if grant.shared > 0:
+            grant.shared -= 1
+            return ConsumedGrant(slot, flow, GrantSource.SHARED)
         return None
 
-    def give_back(self, spent: Spent) -> None:
-        """Nothing was accepted on this unit, which is certain: it can be spent again while its slot lasts."""
-        column = self._left.get(spent.slot)
-        if column is None:
+    def restore(self, consumed: ConsumedGrant) -> None:
+        """Nothing was accepted on this unit, which is certain: it can be consumed again while its slot lasts."""
+        grant = self._remaining.get(consumed.slot)
+        if grant is None:
             return
-        if spent.source is Source.FLOW:
-            column.flows[spent.flow] += 1
-        elif spent.source is Source.INTERACTIVE:
-            column.interactive += 1
+        if consumed.source is GrantSource.FLOW:
+            grant.flows[consumed.flow] += 1
+        elif consumed.source is GrantSource.INTERACTIVE:
+            grant.interactive += 1
         else:
-            column.shared += 1
+            grant.shared += 1
 
     def granted(self, slot: int, flow: Flow) -> int:
         """What is left of a flow's own grant."""
-        column = self._left.get(slot)
-        return 0 if column is None else column.flows.get(flow, 0)
+        grant = self._remaining.get(slot)
+        return 0 if grant is None else grant.flows.get(flow, 0)
--- a/src/passrock/admission/core/starvation.py
+++ b/src/passrock/admission/core/starvation.py
@@ -42,8 +42,8 @@
 class StartWatch:
     """Last starts by flow; carried from leader to leader with the allocations."""
 
-    def __init__(self, favour_after_s: float) -> None:
-        self.favour_after_s = favour_after_s
+    def __init__(self, prioritize_after_s: float) -> None:
+        self.prioritize_after_s = prioritize_after_s
         self.started: dict[Flow, float] = {}
         self.last_start = -math.inf
         self._last_flow: Flow | None = None
@@ -82,13 +82,13 @@
         since = max(oldest.submitted, self.started.get(flow, oldest.submitted))
         return FlowWait(flow, since, len(jobs), oldest.id, oldest.obstacle)
 
-    def favoured(self, waits: Iterable[FlowWait], now: float, most: int) -> list[FlowWait]:
+    def prioritized(self, waits: Iterable[FlowWait], now: float, limit: int) -> list[FlowWait]:
         """Flows that go first now: able to run, long without a start, while others were served."""
         found = [
             wait
             for wait in waits
             if wait.obstacle is Obstacle.OTHERS
-            and now - wait.since > self.favour_after_s
+            and now - wait.since > self.prioritize_after_s
             and self.others_served_since(wait.flow, wait.since)
         ]
-        return found[:most]
+        return found[:limit]
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -22,7 +22,7 @@
 SUFFIX = ".avro"
 FILES = 4  # in a full log; the oldest one goes when another is begun
 BATCH = 16  # decisions in a block; they compress together
-MOST_QUEUED = 4  # blocks that await the thread; a disk that doesn't keep up loses decisions, not memory
+MAX_QUEUED = 4  # blocks that await the thread; a disk that doesn't keep up loses decisions, not memory
 CODEC = "zstandard"
 
 FLOW_SCHEMA = {
@@ -99,7 +99,7 @@
         self._queued = [one for one in self._queued if not one.done()]
         if not batch:
             return
-        if len(self._queued) >= MOST_QUEUED:
+        if len(self._queued) >= MAX_QUEUED:
             self.lost += len(batch)
             return
         self._queued.append(self._thread.submit(self._write, batch))
--- a/src/passrock/admission/settings.py
+++ b/src/passrock/admission/settings.py
@@ -7,22 +7,22 @@
 
 import msgspec
 
-LEAST_LOG_MB = 0.1
+MIN_LOG_MB = 0.1
 
 
 class AdmissionSettings(msgspec.Struct, frozen=True):
     """Ratios and weights of admission. Defaults stand in deploy/admission.hcl."""
 
-    slot_ratio: float = 4.0  # length of a slot, in report intervals
-    intake_share: float = 0.8  # of a follower's part of the state's write rate, for submissions
+    slot_ratio: float = 4.0  # length of a slot, in heartbeat intervals
+    intake_share: float = 0.8  # of a follower's part of the store's write rate, for submissions
     leader_intake_share: float = 0.2  # the same of the leader's part
     interactive_share: float = 0.2  # of a controller's capacity, reserved for interactive classes
-    burst_share: float = 0.1  # of it, reserved for what nobody has reported yet
+    burst_share: float = 0.1  # of it, reserved for demand that nobody has reported yet
     interactive_most: float = 0.5  # of what is granted by demand, for interactive classes before all others
-    interactive_ratio: float = 1.5  # times the shortest aim on waiting: up to this a class is interactive
+    interactive_ratio: float = 1.5  # times the shortest objective on waiting: up to this a class is interactive
     window_s: float = 600.0  # every class with feasible waiting work has a start in each window
-    favour_ratio: float = 0.33  # of the window without a start, after which a class goes first
-    protect_ratio: float = 0.2  # of the window, for which what was started so is not displaced
+    favour_ratio: float = 0.33  # of the window without a start, after which a class is prioritized
+    protect_ratio: float = 0.2  # of the window, for which what was started so is not preempted
     log_dir: str = ""  # of the decision log; empty: none is kept
     log_mb: float = 2.0
     team_weights: dict[str, float] = {}
@@ -40,9 +40,10 @@
     "window_s": (60.0, 86_400.0),
     "favour_ratio": (0.05, 0.9),
     "protect_ratio": (0.0, 1.0),
-    "log_mb": (LEAST_LOG_MB, 1024.0),
+    "log_mb": (MIN_LOG_MB, 1024.0),
 }
 WEIGHTS = (0.001, 1000.0)
+MAX_RESERVED_SHARE = 0.8  # of a controller's capacity, for interactive classes and bursts together
 
 
 def parse_admission(block: Mapping[str, Any], where: str, faults: list[str]) -> AdmissionSettings:
@@ -50,7 +51,7 @@
     values: dict[str, Any] = {}
     for key, value in block.items():
         if key.startswith("__"):
-            continue  # notes of the HCL parser
+            continue  # added by the HCL parser
         path = f"{where}: admission.{key}"
         if key in RANGES:
             values[key] = _number(value, RANGES[key], path, faults)
@@ -61,14 +62,11 @@
         else:
             faults.append(f"{path}: unknown setting")
     settings = AdmissionSettings(**values)
-    if settings.interactive_share + settings.burst_share > MOST_RESERVED:
-        faults.append(f"{where}: admission: interactive_share and burst_share together exceed {MOST_RESERVED}")
+    if settings.interactive_share + settings.burst_share > MAX_RESERVED_SHARE:
+        faults.append(f"{where}: admission: interactive_share and burst_share together exceed {MAX_RESERVED_SHARE}")
     return settings
 
 
-MOST_RESERVED = 0.8
-
-
 def _number(value: object, limits: tuple[float, float], path: str, faults: list[str]) -> float:
     low, high = limits
     if isinstance(value, bool) or not isinstance(value, int | float):
--- a/src/passrock/admission/wire/allocation_record.py
+++ b/src/passrock/admission/wire/allocation_record.py
@@ -1,4 +1,4 @@
-"""Allocations as the state service stores them: compressed text on pages of bounded size.
+"""Allocations as the store keeps them: compressed text on pages of bounded size.
 
 With a thousand flows an allocation is several times as large as a value may be; names of teams and classes repeat, so
 that it compresses to a fraction.
@@ -13,23 +13,23 @@
 import msgspec
 from backports import zstd
 
-from passrock.admission.core.allocation import Allocation, Column, Service
+from passrock.admission.core.allocation import Allocation, NodeGrant, ReceivedService
 from passrock.admission.core.flows import Flow
 
 VERSION = 1
 LEVEL = 6
 PAGE_SPARE = 200  # of a value's size, for what is on a page beside the text
-MOST_BYTES = 1 << 20  # of an allocation before compression; anything longer is no allocation
+MAX_BYTES = 1 << 20  # of an allocation before compression; anything longer is no allocation
 
 
 class UnreadableAllocationError(Exception):
     """A record that is no allocation of a version known here."""
 
 
-class ColumnForm(msgspec.Struct, array_like=True):
-    """A column in its stored form; counts by team and class."""
+class NodeGrantForm(msgspec.Struct, array_like=True):
+    """A controller's grants in their stored form; counts by team and class."""
 
-    life: int
+    incarnation: int
     interactive: int
     shared: int
     flows: dict[str, dict[str, int]]
@@ -42,11 +42,11 @@
     term: int
     leader: str
     settled: int
-    columns: dict[str, ColumnForm]
+    node_grants: dict[str, NodeGrantForm]
     team_service: dict[str, float]
     flow_service: dict[str, dict[str, float]]
     started: dict[str, dict[str, int]]
-    pace: float
+    pacing_share: float
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -61,13 +61,13 @@
         allocation.leader,
         allocation.settled,
         {
-            node: ColumnForm(column.life, column.interactive, column.shared, _by_team(column.flows))
-            for node, column in allocation.columns.items()
+            node: NodeGrantForm(grant.incarnation, grant.interactive, grant.shared, _by_team(grant.flows))
+            for node, grant in allocation.node_grants.items()
         },
         {team: round(used, 3) for team, used in allocation.service.teams.items()},
         _by_team({flow: round(used, 3) for flow, used in allocation.service.flows.items()}),
         _by_team({flow: math.floor(at) for flow, at in allocation.started.items()}),
-        round(allocation.pace, 3),
+        round(allocation.pacing_share, 3),
     )
     text = base64.b85encode(zstd.compress(_encoder.encode(form), LEVEL)).decode()
     size = value_bytes - PAGE_SPARE
@@ -81,7 +81,7 @@
     if not isinstance(head, dict) or head.get("v") != VERSION:
         raise UnreadableAllocationError("not a version known here")
     pages = head.get("pages")
-    if not isinstance(pages, int) or not 0 < pages < MOST_BYTES:
+    if not isinstance(pages, int) or not 0 < pages < MAX_BYTES:
         raise UnreadableAllocationError("no number of pages")
     return pages
 
@@ -92,25 +92,25 @@
         raise UnreadableAllocationError("pages are missing")
     try:
         packed = base64.b85decode("".join(page["z"] for page in pages))
-        body = zstd.ZstdDecompressor().decompress(packed, MOST_BYTES)
+        body = zstd.ZstdDecompressor().decompress(packed, MAX_BYTES)
         form = _decoder.decode(body)
     except (TypeError, KeyError, ValueError, zstd.ZstdError, EOFError) as problem:
         raise UnreadableAllocationError(str(problem)) from problem
-    columns = {
-        node: Column(column.life, column.interactive, column.shared, _flat(column.flows))
-        for node, column in form.columns.items()
+    node_grants = {
+        node: NodeGrant(grant.incarnation, grant.interactive, grant.shared, _flat(grant.flows))
+        for node, grant in form.node_grants.items()
     }
-    if any(min(column.interactive, column.shared, *column.flows.values()) < 0 for column in columns.values()):
+    if any(min(grant.interactive, grant.shared, *grant.flows.values()) < 0 for grant in node_grants.values()):
         raise UnreadableAllocationError("a negative grant")
     return Allocation(
         form.slot,
         form.term,
         form.leader,
-        columns,
-        Service(form.team_service, _flat(form.flow_service)),
+        node_grants,
+        ReceivedService(form.team_service, _flat(form.flow_service)),
         form.settled,
         {flow: float(at) for flow, at in _flat(form.started).items()},
-        form.pace,
+        form.pacing_share,
     )
 
 
--- a/src/passrock/admission/wire/demand_message.py
+++ b/src/passrock/admission/wire/demand_message.py
@@ -10,7 +10,7 @@
 VERSION = 1
 MESSAGE_BYTES = 8 * 1024  # half of what a heartbeat may have
 NAME_LENGTH = 200  # of a team or class, as in a submission
-MOST_COUNT = 1 << 31
+MAX_COUNT = 1 << 31
 
 
 class MalformedDemandError(Exception):
@@ -21,11 +21,11 @@
     """A report in its transmitted form: version first, flows as rows of numbers with names."""
 
     version: int
-    life: int
+    incarnation: int
     started_ms: int
     number: int
     term: int
-    left_out: int
+    omitted_flows: int
     rows: list[tuple[str, str, int, int, int, float]] = []
 
 
@@ -36,13 +36,13 @@
 def encode_demand(report: DemandReport) -> bytes:
     """The message; flows that don't fit are left out, those that have waited least first."""
     rows = sorted(report.flows.items(), key=lambda row: (-row[1].oldest_s, -row[1].wanted, row[0]))
-    form = DemandForm(VERSION, report.life, report.started_ms, report.number, report.term, 0)
+    form = DemandForm(VERSION, report.incarnation, report.started_ms, report.number, report.term, 0)
     size = len(_encoder.encode(form)) + 16  # counts of rows and of what is left out grow by a few bytes
     for flow, demand in rows:
         row = (flow.team, flow.job_class, demand.waiting, demand.arriving, demand.refused, demand.oldest_s)
         size += len(_encoder.encode(row))
         if size > MESSAGE_BYTES:
-            form.left_out = len(rows) - len(form.rows)
+            form.omitted_flows = len(rows) - len(form.rows)
             break
         form.rows.append(row)
     return _encoder.encode(form)
@@ -58,14 +58,14 @@
         raise MalformedDemandError(str(problem)) from problem
     if form.version != VERSION:
         raise MalformedDemandError(f"version {form.version}")
-    if min(form.life, form.started_ms, form.number, form.term, form.left_out) < 0:
+    if min(form.incarnation, form.started_ms, form.number, form.term, form.omitted_flows) < 0:
         raise MalformedDemandError("a negative number")
     flows: dict[Flow, FlowDemand] = {}
     for team, job_class, waiting, arriving, refused, oldest_s in form.rows:
         if len(team) > NAME_LENGTH or len(job_class) > NAME_LENGTH:
             raise MalformedDemandError("a name that is too long")
         counts = (waiting, arriving, refused)
-        if min(counts) < 0 or max(counts) > MOST_COUNT or not 0.0 <= oldest_s < float("inf"):
+        if min(counts) < 0 or max(counts) > MAX_COUNT or not 0.0 <= oldest_s < float("inf"):
             raise MalformedDemandError("an amount that can't be")
         flows[Flow(team, job_class)] = FlowDemand(waiting, arriving, refused, oldest_s)
-    return DemandReport(node, form.life, form.started_ms, form.number, form.term, flows, form.left_out)
+    return DemandReport(node, form.incarnation, form.started_ms, form.number, form.term, flows, form.omitted_flows)
--- a/src/passrock/controller/intake.py
+++ b/src/passrock/controller/intake.py
@@ -1,4 +1,4 @@
-"""What a controller asks before it takes a submission in, where a subsystem decides on that."""
+"""The admission controller: decides on new submissions, where a subsystem is switched on that does."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import msgspec
 
 from passrock.core.model import JobSpec
-from passrock.core.records import Permit
+from passrock.core.records import AdmissionToken
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The submission isn't taken now."""
+    """The submission is not admitted now."""
 
     retry_after_s: int
 
 
-class IntakeGate(Protocol):
-    """Decides whether submissions of jobs that are not known yet are taken in."""
+class AdmissionController(Protocol):
+    """Decides whether submissions of jobs that are not known yet are admitted."""
 
-    def decide(self, spec: JobSpec) -> Permit | Refusal | None:
-        """A permit for its transaction, a refusal, or None when it needs no permit."""
+    def decide(self, spec: JobSpec) -> AdmissionToken | Refusal | None:
+        """A token for its transaction, a refusal, or None when it needs no token."""
 
-    def concluded(self, spec: JobSpec, unused: bool) -> None:
-        """A request with a permit is over; ``unused`` when it is certain that nothing was accepted by it."""
+    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+        """A request with a token is over; ``unused`` when it is certain that nothing was accepted by it."""
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -82,7 +82,7 @@
         )
         self.replica.prefixes += (keys.ALLOCATION,)
         self.peers.extensions.append(control)
-        self.user_api.gate = control
+        self.user_api.admission_controller = control
         return control
 
     def _share_rates(self, leading: bool) -> None:
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -9,14 +9,14 @@
 from passrock.controller import keys
 from passrock.core.jobs import new_record
 from passrock.core.model import JobSpec
-from passrock.core.records import Permit
+from passrock.core.records import AdmissionToken
 from passrock.io.clock import time_of_day
 from passrock.io.errors import StoreError
 from passrock.io.state import Committed, KeyValueStoreClient, TransactionConflict
 from passrock.wire.state import Put, Write
 
 
-class PermitLapsedError(StoreError):
+class AdmissionTokenExpiredError(StoreError):
     """What permitted the submission is no longer in force; nothing was accepted."""
 
 
@@ -24,7 +24,7 @@
     """A submission that awaits its transaction, with everybody who waits for the answer."""
 
     spec: JobSpec
-    permit: Permit | None
+    admission_token: AdmissionToken | None
     futures: list[asyncio.Future[bool]]
 
     def answer(self, accepted: bool) -> None:
@@ -55,10 +55,10 @@
         self.queue: list[Pending] = []
         self.busy = False
 
-    async def submit(self, spec: JobSpec, permit: Permit | None = None) -> bool:
+    async def submit(self, spec: JobSpec, admission_token: AdmissionToken | None = None) -> bool:
         """True when accepted now, False when known already; raises StoreError otherwise."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.queue.append(Pending(spec, permit, [future]))
+        self.queue.append(Pending(spec, admission_token, [future]))
         if not self.busy:
             self.busy = True
             task = asyncio.ensure_future(self._drain())
@@ -95,12 +95,12 @@
         conditions: dict[str, int] = {}
         writes: list[Write] = []
         for pending in batch:
-            job_id, permit = pending.spec.id, pending.permit
+            job_id, admission_token = pending.spec.id, pending.admission_token
             conditions[keys.job(job_id)] = 0
             conditions[keys.final(job_id)] = 0
-            if permit is not None:
-                conditions[permit.key] = permit.mod_revision
-            mark = permit.mark if permit is not None else None
+            if admission_token is not None:
+                conditions[admission_token.key] = admission_token.mod_revision
+            mark = admission_token.grant_reference if admission_token is not None else None
             writes.append(Put(keys.job(job_id), new_record(pending.spec, time_of_day(), mark)))
         try:
             result = await self.state.commit(conditions, writes)
@@ -118,10 +118,10 @@
         """Some condition failed and nothing was written: answer those it was, and try the others again."""
         failed = set(result.conflicting_keys)
         for pending in batch:
-            job_id, permit = pending.spec.id, pending.permit
+            job_id, admission_token = pending.spec.id, pending.admission_token
             if keys.job(job_id) in failed or keys.final(job_id) in failed:
                 pending.answer(False)
-            elif permit is not None and permit.key in failed:
-                pending.fail(PermitLapsedError("the permit has lapsed"))
+            elif admission_token is not None and admission_token.key in failed:
+                pending.fail(AdmissionTokenExpiredError("the admission token has expired"))
             else:
                 self.queue.append(pending)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from passrock.controller import keys
-from passrock.controller.intake import IntakeGate, Refusal
+from passrock.controller.intake import AdmissionController, Refusal
 from passrock.controller.replica import READ_WAIT_S, ReadFence, Replica
-from passrock.controller.submissions import PermitLapsedError, Submitter
+from passrock.controller.submissions import AdmissionTokenExpiredError, Submitter
 from passrock.core.cancellations import Cancellations
 from passrock.core.limiter import Limiter
 from passrock.core.model import JobSpec
-from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
+from passrock.core.records import CANCELLED, DONE, AdmissionToken, fits_record, tasks_per_page
 from passrock.core.scaling import MachineCatalog
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
@@ -83,7 +83,7 @@
         self.fence = ReadFence(state, replica, 1.0 / settings.state_rps)
         self.page_size = tasks_per_page(settings.value_bytes)
         self.submitter = Submitter(state, settings.txn_ops)
-        self.gate: IntakeGate | None = None  # fair admission, where it is switched on
+        self.admission_controller: AdmissionController | None = None  # fair admission, where it is switched on
 
     def handle(self, request: Request) -> Response | Awaitable[Response]:
         """Answer, or refuse at once when too much is in progress."""
@@ -200,11 +200,11 @@
             return Response(422, wire.error_answer(problem_text))
         if self.state.writes.wait(monotonic_time()) > 1.0:
             return _refuse(self.write_limiter, 429)
-        if self.gate is None or self._known_job(spec.id):
+        if self.admission_controller is None or self._known_job(spec.id):
             return self._limited(self.write_limiter, self._submit(spec, None))
         if self.write_limiter.is_full():
-            return _refuse(self.write_limiter, 429)  # before a permit is spent
-        decision = self.gate.decide(spec)
+            return _refuse(self.write_limiter, 429)  # before a grant is consumed
+        decision = self.admission_controller.decide(spec)
         if isinstance(decision, Refusal):
             return self._not_permitted(spec, decision)
         return self._limited(self.write_limiter, self._submit(spec, decision))
@@ -232,17 +232,17 @@
         """Whether the job was accepted once: then its state is the answer, though the types on offer have changed."""
         return job_id in self.replica.finals or self.replica.get(keys.job(job_id)) is not None
 
-    async def _submit(self, spec: JobSpec, permit: Permit | None) -> Response:
+    async def _submit(self, spec: JobSpec, admission_token: AdmissionToken | None) -> Response:
         unused = False
         try:
             async with asyncio.timeout(SUBMIT_PATIENCE_S):
                 try:
-                    if await self.submitter.submit(spec, permit):
+                    if await self.submitter.submit(spec, admission_token):
                         return Response(201, wire.brief_answer(spec.id, "queued"))
                     unused = True
                 except UnknownOutcomeError:
                     pass  # it may have been accepted: read before answering
-                except PermitLapsedError:
+                except AdmissionTokenExpiredError:
                     unused = True
                     return _refuse(self.write_limiter, 429)
                 except StoreError:
@@ -252,8 +252,8 @@
         except TimeoutError:
             return _refuse(self.write_limiter, 503)
         finally:
-            if permit is not None and self.gate is not None:
-                self.gate.concluded(spec, unused)
+            if admission_token is not None and self.admission_controller is not None:
+                self.admission_controller.request_finished(spec, unused)
         if known is None:
             return _refuse(self.write_limiter, 503)
         return Response(200, wire.brief_answer(spec.id, known.status))
--- a/src/passrock/core/jobs.py
+++ b/src/passrock/core/jobs.py
@@ -11,14 +11,14 @@
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.messages import TaskState
 from passrock.core.model import ZERO_RESOURCES, JobKind, JobSpec, Resources
-from passrock.core.records import PERMIT_MARK, decode_spec, encode_spec
+from passrock.core.records import GRANT_REFERENCE, decode_spec, encode_spec
 
 
 def new_record(spec: JobSpec, submitted: float, mark: list[int] | None = None) -> dict[str, Any]:
-    """The first record of an accepted job, with the mark of its permit if it needed one."""
+    """The first record of an accepted job, with the grant that its admission token names if it needed one."""
     record = {"s": encode_spec(spec), "at": submitted, **TaskPage(0, spec.tasks).encode()}
     if mark is not None:
-        record[PERMIT_MARK] = mark
+        record[GRANT_REFERENCE] = mark
     return record
 
 
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -12,18 +12,20 @@
 DESCRIPTION_BYTES = 1200  # kept free in a job's own record for its description
 DONE = "done"
 CANCELLED = "cancelled"
-PERMIT_MARK = "ad"  # the field of a job's first record with the mark of its permit
+GRANT_REFERENCE = "ad"  # the field of a job's first record with the grant that its admission token names
 
 
-class Permit(msgspec.Struct, frozen=True):
-    """What a submission's transaction depends on, and the mark that the job's first record carries of it.
+class AdmissionToken(msgspec.Struct, frozen=True):
+    """What a submission's transaction depends on, and the grant that the job's first record names.
 
-    A job is accepted only while the record under ``key`` has this version.
+    ``grant_reference`` is the slot and the incarnation of the controller whose grant was consumed.
+
+    A job is accepted only while the record under ``key`` has this revision.
     """
 
     key: str
     mod_revision: int
-    mark: list[int]
+    grant_reference: list[int]
 
 
 def tasks_per_page(value_bytes: int) -> int:
--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -34,7 +34,7 @@
         self.cluster = cluster
         self.broken = []
         self.pages = {}  # every page of an allocation that was ever written
-        self.admitted = {}  # (slot, life) -> flow -> jobs
+        self.admitted = {}  # (slot, incarnation) -> flow -> jobs
         self.unmarked = 0
         self.accepted_at = {}
         self.first_asked, self.got_in, self.given_up = {}, {}, set()
@@ -68,21 +68,25 @@
 
     def verify(self):
         """Compare what was admitted with what was granted, slot by slot and controller by controller."""
-        for (slot, life), flows in self.admitted.items():
+        for (slot, incarnation), flows in self.admitted.items():
             allocation = self.allocation(slot)
-            columns = [] if allocation is None else [c for c in allocation.columns.values() if c.life == life]
-            if len(columns) != 1:
-                self.broken.append(("no_grant", (slot, life)))
+            node_grants = (
+                []
+                if allocation is None
+                else [c for c in allocation.node_grants.values() if c.incarnation == incarnation]
+            )
+            if len(node_grants) != 1:
+                self.broken.append(("no_grant", (slot, incarnation)))
                 continue
-            self._compare(slot, columns[0], flows)
+            self._compare(slot, node_grants[0], flows)
         return self.broken
 
-    def _compare(self, slot, column, flows):
-        over = {flow: max(0, count - column.flows.get(flow, 0)) for flow, count in flows.items()}
+    def _compare(self, slot, grant, flows):
+        over = {flow: max(0, count - grant.flows.get(flow, 0)) for flow, count in flows.items()}
         interactive = sum(count for flow, count in over.items() if flow.job_class == "look")
         others = sum(over.values()) - interactive
-        if others > column.shared or others + interactive > column.shared + column.interactive:
-            self.broken.append(("over_grant", (slot, flows, column)))
+        if others > grant.shared or others + interactive > grant.shared + grant.interactive:
+            self.broken.append(("over_grant", (slot, flows, grant)))
 
     def waits(self, prefix, begin=0.0):
         """Seconds from the first attempt to the acceptance of jobs that were first submitted after ``begin``."""
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -5,11 +5,17 @@
 
 from passrock.admission.controller.allocator import shorten
 from passrock.admission.core.admitted import AdmittedJobs
-from passrock.admission.core.allocation import Allocation, Allocator, Column, Service, Shares
+from passrock.admission.core.allocation import (
+    Allocation,
+    CapacityShares,
+    FairShareAllocator,
+    NodeGrant,
+    ReceivedService,
+)
 from passrock.admission.core.demand import DemandCounter, DemandReport, DemandTable, FlowDemand
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants, Source
-from passrock.admission.core.pace import LEAST, Pace
+from passrock.admission.core.grants import GrantLedger, GrantSource
+from passrock.admission.core.rate_pacer import MIN_SHARE, RatePacer
 from passrock.admission.core.slots import SlotClock
 from passrock.admission.core.starvation import Obstacle, StartWatch, WaitingJob
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
@@ -28,7 +34,7 @@
     Objective("wait", "train", 70.0, 0.9),
     Objective("finished", "quick", 5.0, 0.9),
 )
-PLAIN = Shares(0.0, 0.0, 0.0)
+PLAIN = CapacityShares(0.0, 0.0, 0.0)
 
 
 def team(name, gpus=4.0, limit=8.0):
@@ -44,10 +50,10 @@
     return {Flow(*name.split("_")): FlowDemand(count) for name, count in counts.items()}
 
 
-def totals(columns):
+def totals(node_grants):
     return {
-        f"{f.team}_{f.job_class}": sum(c.flows.get(f, 0) for c in columns.values())
-        for c in columns.values()
+        f"{f.team}_{f.job_class}": sum(c.flows.get(f, 0) for c in node_grants.values())
+        for c in node_grants.values()
         for f in c.flows
     }
 
@@ -72,49 +78,57 @@
     ],
 )
 def test_capacity_is_divided_fairly(capacity, demand, team_weights, expected):
-    columns = Allocator(capacity, demand, Service(), weights(team_weights=team_weights), PLAIN).run()
-    assert totals(columns) == expected
-    assert {node: column.total for node, column in columns.items()} == capacity  # what nobody asks for is in reserve
+    node_grants = FairShareAllocator(
+        capacity, demand, ReceivedService(), weights(team_weights=team_weights), PLAIN
+    ).run()
+    assert totals(node_grants) == expected
+    assert {
+        node: grant.total for node, grant in node_grants.items()
+    } == capacity  # what nobody asks for is in reserve
 
 
 def test_reserves_come_first_and_count_in_the_sums():
-    shares = Shares(0.2, 0.1, 0.5)
+    shares = CapacityShares(0.2, 0.1, 0.5)
     demand = {"x": wanted(a_look=50, a_batch=50, b_batch=50)}
-    columns = Allocator({"x": 20, "y": 10}, demand, Service(), weights(), shares).run()
-    assert (columns["x"].interactive, columns["x"].shared, columns["x"].total) == (4, 2, 20)
-    assert (columns["y"].interactive, columns["y"].shared, columns["y"].total) == (2, 8, 10)
-    granted = totals(columns)
+    node_grants = FairShareAllocator({"x": 20, "y": 10}, demand, ReceivedService(), weights(), shares).run()
+    assert (node_grants["x"].interactive, node_grants["x"].shared, node_grants["x"].total) == (4, 2, 20)
+    assert (node_grants["y"].interactive, node_grants["y"].shared, node_grants["y"].total) == (2, 8, 10)
+    granted = totals(node_grants)
     assert granted["a_look"] >= 10 and granted["b_batch"] > 0  # half of what is granted, and no more takes all
 
 
 def test_a_small_flow_has_a_unit_at_each_controller():
-    columns = Allocator({"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=1)}, Service(), weights(), PLAIN).run()
+    node_grants = FairShareAllocator(
+        {"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=1)}, ReceivedService(), weights(), PLAIN
+    ).run()
     few = Flow("b", "batch")
-    assert [column.flows.get(few, 0) for column in columns.values()] == [1, 1]
+    assert [grant.flows.get(few, 0) for grant in node_grants.values()] == [1, 1]
 
 
 def test_more_flows_than_capacity_take_turns():
     """1,000 flows of which a slot serves 37: each is served once before any is served twice."""
     flows = [Flow(f"team-{n % 50}", f"class-{n}") for n in range(1000)]
     one = weights(teams=[f"team-{n}" for n in range(50)])
-    service, served = Service(), dict.fromkeys(flows, 0)
+    service, served = ReceivedService(), dict.fromkeys(flows, 0)
     for _ in range(1000 // 37 + 1):
-        columns = Allocator({"x": 37}, {"x": {f: FlowDemand(5) for f in flows}}, service, one, PLAIN).run()
-        for flow, units in columns["x"].flows.items():
+        node_grants = FairShareAllocator(
+            {"x": 37}, {"x": {f: FlowDemand(5) for f in flows}}, service, one, PLAIN
+        ).run()
+        for flow, units in node_grants["x"].flows.items():
             served[flow] += units
     assert min(served.values()) >= 1 and max(served.values()) <= 2
 
 
 def test_who_pauses_saves_nothing_up():
-    service, one = Service(), weights()
+    service, one = ReceivedService(), weights()
     for _ in range(50):
-        Allocator({"x": 10}, {"x": wanted(a_batch=90)}, service, one, PLAIN).run()
-    columns = Allocator({"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, service, one, PLAIN).run()
-    assert totals(columns) == {"a_batch": 5, "b_batch": 5}
+        FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90)}, service, one, PLAIN).run()
+    node_grants = FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, service, one, PLAIN).run()
+    assert totals(node_grants) == {"a_batch": 5, "b_batch": 5}
 
 
 def test_what_was_not_used_is_given_back():
-    service, one = Service(), weights()
+    service, one = ReceivedService(), weights()
     service.charge(Flow("a", "batch"), 6, one)
     service.charge(Flow("a", "batch"), -6, one)
     assert service.teams == {"a": 0.0}
@@ -132,45 +146,51 @@
     assert clock.elapsed(6.0) == 0.5 and clock.until(3, 6.0) == 6.0 and clock.until(1, 6.0) == 0.0
 
 
-def allocation(slot=7, life=5, **flows):
-    column = Column(life, 1, 1, {Flow(*name.split("_")): count for name, count in flows.items()})
-    return Allocation(slot, 3, "n1", {"n1": column, "n2": Column(9, 2, 2)}, Service({"a": 1.5}), 5)
+def allocation(slot=7, incarnation=5, **flows):
+    grant = NodeGrant(incarnation, 1, 1, {Flow(*name.split("_")): count for name, count in flows.items()})
+    return Allocation(slot, 3, "n1", {"n1": grant, "n2": NodeGrant(9, 2, 2)}, ReceivedService({"a": 1.5}), 5)
 
 
 def test_each_unit_is_spent_once():
-    grants = Grants("n1", 5)
-    grants.open(allocation(a_batch=1))
-    grants.open(allocation(a_batch=50))  # a slot has one allocation for ever
+    grants = GrantLedger("n1", 5)
+    grants.add(allocation(a_batch=1))
+    grants.add(allocation(a_batch=50))  # a slot has one allocation for ever
     batch, look = Flow("a", "batch"), Flow("a", "look")
-    sources = [grants.take(7, flow, flow is look) for flow in (batch, look, batch, look, batch)]
-    assert [one and one.source for one in sources] == [Source.FLOW, Source.INTERACTIVE, Source.SHARED, None, None]
-    grants.give_back(sources[0])
-    assert grants.take(7, look, True) is None and grants.take(7, batch, False).source is Source.FLOW
-    assert grants.take(8, batch, False) is None  # nothing was read for that slot
+    sources = [grants.consume(7, flow, flow is look) for flow in (batch, look, batch, look, batch)]
+    assert [one and one.source for one in sources] == [
+        GrantSource.FLOW,
+        GrantSource.INTERACTIVE,
+        GrantSource.SHARED,
+        None,
+        None,
+    ]
+    grants.restore(sources[0])
+    assert grants.consume(7, look, True) is None and grants.consume(7, batch, False).source is GrantSource.FLOW
+    assert grants.consume(8, batch, False) is None  # nothing was read for that slot
 
 
 def test_grants_of_a_former_life_are_not_ones_own():
-    grants = Grants("n1", 6)
-    grants.open(allocation(life=5, a_batch=9))
-    assert grants.take(7, Flow("a", "batch"), False) is None
+    grants = GrantLedger("n1", 6)
+    grants.add(allocation(incarnation=5, a_batch=9))
+    assert grants.consume(7, Flow("a", "batch"), False) is None
 
 
 def test_demand_counts_each_submission_once():
     counter = DemandCounter()
     flow = Flow("a", "batch")
     for job in ("one", "two", "one"):
-        counter.refused(job, flow, 4, 10.0, 30.0)
+        counter.record_refused(job, flow, 4, 10.0, 30.0)
     assert counter.demand(4, 12.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=0, oldest_s=2.0)
     assert counter.demand(5, 14.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=3, oldest_s=4.0)
-    counter.admitted("one", flow, 5)
+    counter.record_admitted("one", flow, 5)
     counter.accepted_anywhere("two")  # by another controller
     assert counter.waiting(flow) == 0
-    counter.refused("three", flow, 6, 18.0, 20.0)
+    counter.record_refused("three", flow, 6, 18.0, 20.0)
     assert flow not in counter.demand(8, 21.0)  # not heard of again
 
 
-def report(node="n1", life=5, started=1000, number=1, term=3, **flows):
-    return DemandReport(node, life, started, number, term, wanted(**flows))
+def report(node="n1", incarnation=5, started=1000, number=1, term=3, **flows):
+    return DemandReport(node, incarnation, started, number, term, wanted(**flows))
 
 
 @pytest.mark.parametrize(
@@ -179,16 +199,20 @@
         ([report(a_batch=1), report(number=2, a_batch=2)], [True, True], 2),
         ([report(number=2, a_batch=2), report(a_batch=1)], [True, False], 2),  # out of order
         ([report(a_batch=1), report(a_batch=1)], [True, False], 1),  # twice
-        ([report(number=9, a_batch=1), report(life=6, started=2000, a_batch=4)], [True, True], 4),  # restarted
-        ([report(life=6, started=2000, a_batch=4), report(number=9, a_batch=1)], [True, False], 4),  # its former life
+        ([report(number=9, a_batch=1), report(incarnation=6, started=2000, a_batch=4)], [True, True], 4),  # restarted
+        (
+            [report(incarnation=6, started=2000, a_batch=4), report(number=9, a_batch=1)],
+            [True, False],
+            4,
+        ),  # its former incarnation
         ([report(a_batch=1), report(number=2, term=2, a_batch=7)], [True, False], 1),  # of an older term
     ],
 )
 def test_reports_of_demand(reports, taken, waiting):
     table = DemandTable(8.0)
-    assert [table.take(one, 3, 100.0) for one in reports] == taken
+    assert [table.update(one, 3, 100.0) for one in reports] == taken
     assert table.demand(107.0)["n1"][Flow("a", "batch")].waiting == waiting
-    assert table.demand(109.0) == {} and table.lives()["n1"] in (5, 6)  # silent: its reserves are left
+    assert table.demand(109.0) == {} and table.incarnations()["n1"] in (5, 6)  # silent: its reserves are left
 
 
 def test_demand_message_is_bounded_and_round():
@@ -196,7 +220,7 @@
     body = encode_demand(DemandReport("n1", 5, 1000, 1, 3, many))
     assert len(body) <= MESSAGE_BYTES
     read = decode_demand("n1", body)
-    assert read.left_out + len(read.flows) == 2000 and Flow("team-1999", "batch" * 10) in read.flows
+    assert read.omitted_flows + len(read.flows) == 2000 and Flow("team-1999", "batch" * 10) in read.flows
     small = report(a_batch=1)
     assert decode_demand("n1", encode_demand(small)) == small
 
@@ -223,9 +247,11 @@
 
 def large_allocation(count):
     flows = {Flow(f"team-{n % 1000:04d}", f"class-{n}"): n for n in range(count)}
-    columns = {f"n{i}": Column(1 << 47, 3, 4, dict(flows)) for i in range(3)}
-    service = Service({f"team-{n:04d}": n * 1.237 for n in range(count)}, {flow: n / 7 for flow, n in flows.items()})
-    return Allocation(123_456_789, 41, "n0", columns, service, 5, {flow: 1.8e9 + n for flow, n in flows.items()})
+    node_grants = {f"n{i}": NodeGrant(1 << 47, 3, 4, dict(flows)) for i in range(3)}
+    service = ReceivedService(
+        {f"team-{n:04d}": n * 1.237 for n in range(count)}, {flow: n / 7 for flow, n in flows.items()}
+    )
+    return Allocation(123_456_789, 41, "n0", node_grants, service, 5, {flow: 1.8e9 + n for flow, n in flows.items()})
 
 
 def test_allocation_of_a_thousand_flows_is_stored_on_pages():
@@ -233,12 +259,12 @@
     pages = encode_allocation(one, 4096)
     assert all(len(msgspec.json.encode(page)) <= 4096 for page in pages)
     read = decode_allocation(pages)
-    assert read.columns == one.columns and read.started == one.started and read.slot == one.slot
+    assert read.node_grants == one.node_grants and read.started == one.started and read.slot == one.slot
     assert read.service.flows[Flow("team-0700", "class-700")] == 100.0
-    total = {node: column.total for node, column in one.columns.items()}
+    total = {node: grant.total for node, grant in one.node_grants.items()}
     shorten(one)
     assert len(encode_allocation(one, 4096)) < len(pages)
-    assert {node: column.total for node, column in one.columns.items()} == total  # nothing is lost of the sums
+    assert {node: grant.total for node, grant in one.node_grants.items()} == total  # nothing is lost of the sums
 
 
 @pytest.mark.parametrize(
@@ -290,24 +316,24 @@
     for flow, at in starts:
         watch.note_start(Flow("a", flow), at)
     waits = watch.look(jobs)
-    assert [wait.oldest for wait in watch.favoured(waits, 300.0, 5)] == favoured
+    assert [wait.oldest for wait in watch.prioritized(waits, 300.0, 5)] == favoured
 
 
 def test_last_starts_go_from_leader_to_leader():
     watch = StartWatch(200.0)
     watch.resume({Flow("a", "low"): 90.0})
     watch.note_start(Flow("a", "high"), 250.0)
-    assert watch.favoured(watch.look([waiting("j", "low", 0.0)]), 280.0, 1) == []  # not anew, and not forgotten
-    assert [one.since for one in watch.favoured(watch.look([waiting("j", "low", 0.0)]), 291.0, 1)] == [90.0]
+    assert watch.prioritized(watch.look([waiting("j", "low", 0.0)]), 280.0, 1) == []  # not anew, and not forgotten
+    assert [one.since for one in watch.prioritized(watch.look([waiting("j", "low", 0.0)]), 291.0, 1)] == [90.0]
 
 
 def test_pace_follows_the_measured_delay():
-    pace = Pace(1.0)
+    pacer = RatePacer(1.0)
     for _ in range(20):
-        pace.measured(5.0)
-    assert pace.part == LEAST
-    pace.measured(1.5)
-    assert pace.part == LEAST  # neither late nor idle
+        pacer.record_delay(5.0)
+    assert pacer.share == MIN_SHARE
+    pacer.record_delay(1.5)
+    assert pacer.share == MIN_SHARE  # neither late nor idle
     for _ in range(30):
-        pace.measured(0.2)
-    assert pace.part == 1.0
+        pacer.record_delay(0.2)
+    assert pacer.share == 1.0
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -53,7 +53,7 @@
 
 def test_without_dispatch_a_low_class_starves(monkeypatch):
     """The check above fails where nobody goes first."""
-    monkeypatch.setattr(StartWatch, "favoured", lambda self, waits, now, most: [])
+    monkeypatch.setattr(StartWatch, "prioritized", lambda self, waits, now, limit: [])
     _, waits, _ = virtual_time.run(rare_starts(700.0, node_count=1))
     assert waits.longest["low"] > WINDOW_S and waits.longest["tiny"] > WINDOW_S
 
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -42,7 +42,7 @@
     cluster, checker = asyncio.run(flooded(tmp_path))
     assert checker.verify() == [] and cluster.checker.broken == []
     assert checker.unmarked == 0  # every job was admitted by a grant
-    assert len({life for _, life in checker.admitted}) == 3  # at each controller
+    assert len({incarnation for _, incarnation in checker.admitted}) == 3  # at each controller
     asked = sum(job.startswith("wk-1") for job in checker.first_asked)
     assert 0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < asked  # more than could be taken
     main(["admission", "report", str(tmp_path / "log")])  # the processes were killed: what they had written is whole
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -8,12 +8,12 @@
 from passrock.admission.controller.allocator import SlotAllocator
 from passrock.admission.core.demand import FlowDemand
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants
+from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire import allocation_record
 from passrock.controller import keys
-from passrock.core.records import PERMIT_MARK
+from passrock.core.records import GRANT_REFERENCE
 from passrock.io.errors import UnknownOutcomeError
 from passrock.io.peers import frame
 from standins import virtual_time
@@ -65,15 +65,15 @@
         control.received = shuffled
         flood(cluster, checker, node=hears)
         await asyncio.sleep(30.0)
-        columns = checker.allocation(slots_of(checker)[-1]).columns
+        node_grants = checker.allocation(slots_of(checker)[-1]).node_grants
         await asyncio.sleep(60.0)
-        return checker, columns, hears
+        return checker, node_grants, hears
 
-    checker, columns, hears = virtual_time.run(main())
+    checker, node_grants, hears = virtual_time.run(main())
     assert checker.verify() == []
     assert len(checker.given_up) > 0  # more was asked than could be admitted
     assert max(checker.waits("wk-9")) <= BOUND_S
-    batch = {node: [flow for flow in column.flows if flow.job_class == "batch"] for node, column in columns.items()}
+    batch = {node: [flow for flow in grant.flows if flow.job_class == "batch"] for node, grant in node_grants.items()}
     assert [node for node, flows in batch.items() if flows] == [hears]  # where the demand is
 
 
@@ -145,7 +145,7 @@
     served = set(before.service.flows)  # what one slot could not give to all, the others received
     assert 0 < len(served) < 30 and first.settled >= before.settled
     assert set(first.granted()) - served  # they come first under the next leader
-    assert first.service.flows and first.pace <= 1.0
+    assert first.service.flows and first.pacing_share <= 1.0
 
 
 @pytest.mark.parametrize("trouble", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
@@ -184,18 +184,18 @@
         slot = int(cluster.now() // SLOT_S) + 1
         await asyncio.sleep((slot + 0.2) * SLOT_S - cluster.now())
         ledgers = [sim.node.admission.grants for sim in cluster.nodes.values()]
-        before = sum(grants._left[slot].total for grants in ledgers)
+        before = sum(grants._remaining[slot].total for grants in ledgers)
         spec = cluster.job(LOOK, shelfmark="look")
         nodes = [*cluster.nodes, *cluster.nodes, "n0"]
         answers = await asyncio.gather(*(submit(cluster, checker, spec, node=name) for name in nodes))
         await asyncio.sleep(1.0)
-        after = sum(grants._left[slot].total for grants in ledgers)
-        under_way = [sim.node.admission.intake._under_way for sim in cluster.nodes.values()]
+        after = sum(grants._remaining[slot].total for grants in ledgers)
+        under_way = [sim.node.admission.admitter._in_progress for sim in cluster.nodes.values()]
         return checker, answers, before - after, under_way
 
-    checker, answers, spent, under_way = virtual_time.run(main())
+    checker, answers, consumed, under_way = virtual_time.run(main())
     assert all(answers) and len(checker.accepted_at) == 1 and checker.broken == []
-    assert spent == 1
+    assert consumed == 1
     assert under_way == [{}, {}, {}]
 
 
@@ -208,8 +208,8 @@
         spec = cluster.job(LOOK, shelfmark="look")
         assert await submit(cluster, checker, spec, run_s=100.0, node="n0")
         for sim in cluster.nodes.values():  # as after a restart: nothing can be admitted
-            sim.node.admission.grants._left.clear()
-            sim.node.admission.grants.life = -1
+            sim.node.admission.grants._remaining.clear()
+            sim.node.admission.grants.incarnation = -1
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
         polls = [(await cluster.ask("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
         fresh = cluster.job(LOOK + 1, shelfmark="look")
@@ -290,7 +290,7 @@
     checker, view, records = virtual_time.run(main())
     assert checker.pages == {} and checker.unmarked == 1
     assert b"extensions" not in frame(view)
-    assert all(PERMIT_MARK not in record for record in records if isinstance(record, dict))
+    assert all(GRANT_REFERENCE not in record for record in records if isinstance(record, dict))
 
 
 async def history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
@@ -318,15 +318,15 @@
 
 
 def spend_nothing(monkeypatch):
-    take = Grants.take
+    take = GrantLedger.consume
 
     def free(self, slot, flow, interactive):
-        spent = take(self, slot, flow, interactive)
-        if spent is not None:
-            self.give_back(spent)
-        return spent
+        consumed = take(self, slot, flow, interactive)
+        if consumed is not None:
+            self.restore(consumed)
+        return consumed
 
-    monkeypatch.setattr(Grants, "take", free)
+    monkeypatch.setattr(GrantLedger, "consume", free)
 
 
 def decide_again(monkeypatch):
@@ -349,14 +349,14 @@
 
 
 def ignore_lives(monkeypatch):
-    """A restarted controller that takes its former life's grants for its own."""
+    """A restarted controller that takes its former incarnation's grants for its own."""
 
     def open_any(self, allocation):
-        column = allocation.columns.get(self.node)
-        if column is not None and allocation.slot not in self._left:
-            self._left[allocation.slot] = msgspec.structs.replace(column, flows=dict(column.flows))
+        grant = allocation.node_grants.get(self.node)
+        if grant is not None and allocation.slot not in self._remaining:
+            self._remaining[allocation.slot] = msgspec.structs.replace(grant, flows=dict(grant.flows))
 
-    monkeypatch.setattr(Grants, "open", open_any)
+    monkeypatch.setattr(GrantLedger, "add", open_any)
 
 
 @pytest.mark.parametrize(
@@ -380,10 +380,10 @@
         cluster, checker = flood_world(10)
         await asyncio.sleep(WARM_S)
         follower = next(sim for sim in cluster.nodes.values() if not sim.node.leadership.leading)
-        clock = follower.node.admission.intake.clock
+        clock = follower.node.admission.admitter.clock
         if stale:
             seen = clock.number(cluster.now())
-            follower.node.admission.intake.clock = StaleClock(clock.length_s, seen)
+            follower.node.admission.admitter.clock = StaleClock(clock.length_s, seen)
         follower.frozen_until = cluster.now() + 3.4 * SLOT_S
         spec = cluster.job(LOOK, shelfmark="look")
         asked = cluster.spawn(submit(cluster, checker, spec, node=follower.name))
@@ -442,7 +442,7 @@
         await asyncio.sleep(WARM_S)
         for sim in cluster.nodes.values():
             flows = {Flow(f"t{n % 3}", f"class-{n * 7919 % 1000}"): FlowDemand(1, 1, 0, n / 7) for n in range(1000)}
-            sim.node.admission.intake.demand.demand = lambda slot, now, flows=flows: dict(flows)
+            sim.node.admission.admitter.demand.demand = lambda slot, now, flows=flows: dict(flows)
         await asyncio.sleep(4 * SLOT_S)
         await cluster.crash([leader_of(cluster).name], 2.0)
         await asyncio.sleep(6 * SLOT_S)
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -27,13 +27,13 @@
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
 from passrock.admission.controller.dispatch import Dispatch
-from passrock.admission.controller.intake import Intake
 from passrock.admission.controller.outcomes import SlotOutcomes
-from passrock.admission.core.allocation import Allocation, Column, Service
+from passrock.admission.controller.submission_admitter import SubmissionAdmitter
+from passrock.admission.core.allocation import Allocation, NodeGrant, ReceivedService
 from passrock.admission.core.decision import Decision, FlowOutcome
 from passrock.admission.core.demand import DemandReport, FlowDemand
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants
+from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.admission.core.starvation import Obstacle, StartWatch
 from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
@@ -56,7 +56,7 @@
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import Command, Op, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
-from passrock.core.records import Permit, decode_spec
+from passrock.core.records import AdmissionToken, decode_spec
 from passrock.core.scaling import MachineCatalog, Offer
 from passrock.io.clock import use_wall_clock
 from passrock.io.cloud import CloudClient
@@ -71,7 +71,7 @@
 GOLDEN = Path(__file__).parent / "golden"
 TIME_OF_DAY = 1_700_000_123.25
 VALUE_BYTES = 1024
-PERMIT = Permit("p/a/000000004711/000", 97, [4711, 13])
+ADMISSION_TOKEN = AdmissionToken("p/a/000000004711/000", 97, [4711, 13])
 
 
 # -- fixture files -------------------------------------------------------------------------------------------
@@ -174,9 +174,9 @@
 
 
 def make_demand(values):
-    node, life, started_ms, number, term, rows, left_out = values.values()
+    node, incarnation, started_ms, number, term, rows, omitted_flows = values.values()
     counted = flows(rows, lambda row: FlowDemand(*row.values()))
-    return DemandReport(node, life, started_ms, number, term, counted, left_out)
+    return DemandReport(node, incarnation, started_ms, number, term, counted, omitted_flows)
 
 
 def encode_demand_report(values):
@@ -187,15 +187,17 @@
     return plain(decode_demand("node-3", data))
 
 
-def make_column(life, interactive, shared, granted):
-    return Column(life, interactive, shared, flows(granted))
+def make_grant(incarnation, interactive, shared, granted):
+    return NodeGrant(incarnation, interactive, shared, flows(granted))
 
 
 def make_allocation(values):
-    slot, term, leader, columns, service, settled, started, pace = values.values()
-    columns = {node: make_column(*column.values()) for node, column in columns}
+    slot, term, leader, node_grants, service, settled, started, pace = values.values()
+    node_grants = {node: make_grant(*grant.values()) for node, grant in node_grants}
     teams, used = service.values()
-    return Allocation(slot, term, leader, columns, Service(dict(teams), flows(used)), settled, flows(started), pace)
+    return Allocation(
+        slot, term, leader, node_grants, ReceivedService(dict(teams), flows(used)), settled, flows(started), pace
+    )
 
 
 def unpacked(pages):
@@ -463,9 +465,9 @@
 
 
 async def accept_a_job(http):
-    """A submission with a permit, as a follower commits it."""
+    """A submission with an admission token, as a follower commits it."""
     spec = users.parse_submission(golden("users/submission_array.cbor"))
-    assert await Submitter(state_client(http), 9).submit(spec, PERMIT)
+    assert await Submitter(state_client(http), 9).submit(spec, ADMISSION_TOKEN)
 
 
 def started_job():
@@ -788,13 +790,14 @@
     assert (version, pages) == (7, len(spelt("records/allocation_pages")))
 
 
-def test_golden_allocation_gives_the_golden_permit(wall_clock):
+def test_golden_allocation_gives_the_golden_admission_token(wall_clock):
     values = spelt("records/allocation")
-    store = AllocationStore(dict)
+    grants = GrantLedger("node-1", 7000001)
+    store = AllocationStore(dict, grants.add)
     clock = SlotClock(TIME_OF_DAY / (4711 + 0.5))
-    intake = Intake(clock, Grants("node-1", 7000001), store, Weights({}, (), {}, {}, 1.5), random.Random(5))
+    admitter = SubmissionAdmitter(clock, grants, store, Weights({}, (), {}, {}, 1.5), random.Random(5))
     store.put(make_allocation(values), 97, 3)
-    assert plain(intake.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
+    assert plain(admitter.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
 
 
 def test_a_slot_is_committed_under_the_golden_keys_and_conditions(wall_clock):
@@ -809,7 +812,7 @@
         dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
-        store = AllocationStore(dict)
+        store = AllocationStore(dict, lambda allocation: None)
         for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
             store.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
         allocator = SlotAllocator(
@@ -919,13 +922,13 @@
     async def main():
         await asyncio.sleep(10.0)
         node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
-        node.leadership.run_id = node.admission.life = 7000001
+        node.leadership.run_id = node.admission.incarnation = 7000001
         node.replica.proved(7.375)
         for number in range(3):
             node.cancellations.learn(f"wk-{5000 + number}", 8.0)
         for number in range(2):
             node.leadership.redirect(f"host-{number}", 41)
-        node.admission.intake.decide(make_spec(spelt("users/submission_array")))
+        node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
         answer = node.peers.reply(receive_heartbeat(golden("peers/heartbeat_demand.frame")))
@@ -1054,9 +1057,9 @@
         decode_allocation(pages)
     entries = {keys.allocation(4711, page): state.Entry("", value, 7) for page, value in enumerate(pages)}
     entries = {key: state.Entry(key, entry.value, 7) for key, entry in entries.items()}
-    store = AllocationStore(lambda: entries)
+    store = AllocationStore(lambda: entries, lambda allocation: None)
     for key, entry in entries.items():
-        store.changed(key, entry)
+        store.on_change(key, entry)
     assert store.get(4711) is None
 
 
