--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -28,7 +28,7 @@
 from passrock.core.model import JobSpec
 from passrock.core.records import PERMIT_MARK, Permit
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.io.peers import Peers
+from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
 from passrock.logs import info
 from passrock.settings import Settings
@@ -53,7 +53,7 @@
         state: StateClient,
         replica: Replica,
         leadership: Leadership,
-        peers: Peers,
+        peers: PeerTable,
         rng: random.Random,
     ) -> None:
         self.name = NAME
@@ -70,7 +70,7 @@
             admission.class_weights,
             admission.interactive_ratio,
         )
-        self.life = leadership.run_id
+        self.life = leadership.incarnation
         self.store = AllocationStore(lambda: replica.entries)
         self.grants = Grants(settings.node, self.life)
         self.intake = Intake(self.clock, self.grants, self.store, self.weights, rng)
@@ -83,7 +83,7 @@
         self._message = b""
         self._reports = 0
         self._complained_at = -1e9
-        replica.listeners.append(self._changed)
+        replica.subscribe(self._changed)
         self.log = self._open_log()
 
     def _open_log(self) -> DecisionLog | None:
@@ -123,8 +123,8 @@
         """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
         if self.leadership.leading:
             return True
-        answers = self.peers.answers(monotonic_time() - self.leadership.ttl)
-        leading = [heartbeat for heartbeat, _ in answers if heartbeat.leading]
+        heartbeats = self.peers.heartbeats(monotonic_time() - self.leadership.lease_ttl_s)
+        leading = [heartbeat for heartbeat in heartbeats if heartbeat.leading]
         if not leading:
             return True
         return max(leading, key=lambda heartbeat: heartbeat.term).extension(NAME) is not None
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -6,10 +6,12 @@
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
+from passrock.controller.term_fence import TermFence
 from passrock.core.inventory import WORKER_WAIT_S, Machine, MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.model import Priority
 from passrock.core.preemption import drain
+from passrock.io.peers import PeerTable
 from passrock.logs import info
 from passrock.settings import Settings
 
@@ -29,12 +31,16 @@
         job_table: JobTable,
         inventory: MachineInventory,
         leadership: Leadership,
+        fence: TermFence,
+        peers: PeerTable,
         provisioner: Provisioner,
     ) -> None:
         self.settings = settings
         self.job_table = job_table
         self.inventory = inventory
         self.leadership = leadership
+        self.fence = fence
+        self.peers = peers
         self.provisioner = provisioner
         self.given_up: deque[float] = deque()  # when machines were given up for silent, over the last lease
 
@@ -42,7 +48,8 @@
         """Take note of silence, deafness and ends of leases; have machines deleted that won't serve again."""
         inventory = self.inventory
         self.clear_cancelled(now)
-        inventory.wait_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
+        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s / 2)
+        inventory.wait_s = WORKER_WAIT_S if peer_unresponsive else 0.0
         # a machine that holds tasks of an earlier term counts too, though it may never report in this one
         up = [
             m
@@ -72,7 +79,7 @@
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.inventory.lease_expired(machine, now, self.leadership.fenced_at):
+        if not self.inventory.lease_expired(machine, now, self.fence.confirmed_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
@@ -141,9 +148,9 @@
         missing = sum(inventory.overdue(m, now) for m in up) + len(self.given_up)
         limit = max(CROWD_LEAST, (len(up) + len(self.given_up)) / CROWD)
         crowd = missing > limit
-        if len(silent) > limit and self.leadership.workers_elsewhere() * ABDICATE_PART > len(up):
+        if len(silent) > limit and self.peers.redirected_workers(now) * ABDICATE_PART > len(up):
             # cut off from the workers alone: the state service and the peers don't show it
-            self.leadership.abdicate()
+            self.leadership.resign()
             return True
         if len(silent) * 2 <= len(up) + 2:
             for machine in silent:
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,6 +8,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.messages import Command, WorkerHeartbeat
@@ -26,6 +27,7 @@
         self,
         settings: Settings,
         leadership: Leadership,
+        renewal: RenewalPolicy,
         job_table: JobTable,
         inventory: MachineInventory,
         catalog: MachineCatalog,
@@ -34,7 +36,7 @@
         evaluations: Evaluations,
     ) -> None:
         self.settings = settings
-        self.leadership = leadership
+        self.renewal = renewal
         self.job_table = job_table
         self.inventory = inventory
         self.catalog = catalog
@@ -59,7 +61,7 @@
         machine = self.inventory.observe(heartbeat, kind, now)
         if machine is None:
             return None  # a late copy, or of a machine that is gone: an answer could only renew by mistake
-        commands = self.reconciler.handle(machine, heartbeat, now, launch=self.leadership.may_launch())
+        commands = self.reconciler.handle(machine, heartbeat, now, launch=self.renewal.may_launch())
         if self.reconciler.changed:
             self._log_changes(machine, now)
             self.evaluations.request()
@@ -109,7 +111,7 @@
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
-        if self.leadership.may_launch():
+        if self.renewal.may_launch():
             commands += self.reconciler.launches(machine, heartbeat)
         machine.answered = monotonic_time()
         return commands
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -15,8 +15,10 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
 from passrock.controller.record_loader import confirmed_at, load_records
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
-from passrock.core.cancellations import Cancellations
+from passrock.controller.term_fence import TermFence
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.model import Priority
@@ -27,6 +29,7 @@
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.cloud import CloudClient
+from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
 from passrock.logs import error, info
 from passrock.settings import Settings
@@ -45,14 +48,18 @@
         state: StateClient,
         cloud: CloudClient,
         replica: Replica,
-        cancellations: Cancellations,
+        cancellations: CancellationLog,
         leadership: Leadership,
+        renewal: RenewalPolicy,
+        peers: PeerTable,
         catalog: MachineCatalog,
     ) -> None:
         self.settings = settings
         self.replica = replica
         self.cancellations = cancellations
         self.leadership = leadership
+        self.renewal = renewal
+        self.fence = TermFence(leadership, peers, settings.nodes)
         self.catalog = catalog
         began = monotonic_time()
         operator = settings.operator
@@ -79,7 +86,7 @@
         self.provisioner.on_machine_lost = self.machine_lost
         self.provisioner.on_change = self.evaluations.request
         self.failure_detector = FailureDetector(
-            settings, self.job_table, self.inventory, leadership, self.provisioner
+            settings, self.job_table, self.inventory, leadership, self.fence, peers, self.provisioner
         )
         self.autoscaler = Autoscaler(
             settings, self.job_table, self.inventory, catalog, self.scheduler, self.preemption, self.provisioner
@@ -91,6 +98,7 @@
         self.heartbeat_handler = HeartbeatHandler(
             settings,
             leadership,
+            renewal,
             self.job_table,
             self.inventory,
             catalog,
@@ -114,8 +122,7 @@
         for task in self.tasks:
             task.cancel()
         self.rounds.stop()
-        if self._listen in self.replica.listeners:
-            self.replica.listeners.remove(self._listen)
+        self.replica.unsubscribe(self._listen)
 
     async def _guard(self, work: Awaitable[None]) -> None:
         try:
@@ -147,7 +154,7 @@
 
     def _load(self) -> None:
         load_records(self.replica, self.cancellations, self.job_table, self.inventory, self.rounds, self.commit_queue)
-        self.replica.listeners.append(self._listen)
+        self.replica.subscribe(self._listen)
         self.ready = True
         info(
             "leader_term_ready",
@@ -177,7 +184,7 @@
                     image=job.spec.image,
                 )
                 self.evaluations.request()
-                heard = self.cancellations.when(job_id)
+                heard = self.cancellations.learned_at(job_id)
                 if heard is not None:
                     self.cancelled(job_id, heard)
         elif key.startswith(keys.CANCEL) and entry is not None:
@@ -212,10 +219,10 @@
             self.inventory.began = now  # this process stood still: silence in that time proves nothing
         self._last_evaluation = now
         if not self.leadership.holds_lease():
-            if self.leadership.may_renew():
+            if self.renewal.may_renew():
                 self.failure_detector.clear_cancelled(now)  # the time for these runs on through an outage
             return
-        self.leadership.check_fence()
+        self.fence.check()
         planning = now >= self._plan_due
         if planning:
             self._plan_due = now + self.settings.report_s * PLAN_EVERY
--- /dev/null
+++ b/src/passrock/controller/local_heartbeat.py
@@ -0,0 +1,45 @@
+"""What this controller tells its peers about itself."""
+
+from __future__ import annotations
+
+from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
+from passrock.controller.replica import Replica
+from passrock.controller.worker_redirects import WorkerRedirects
+from passrock.io.clock import monotonic_time
+from passrock.io.peer_messages import PeerHeartbeat
+from passrock.io.state import StateClient
+
+
+class LocalHeartbeat:
+    """Makes this controller's heartbeat as of the moment of the call."""
+
+    def __init__(
+        self,
+        node: str,
+        leadership: Leadership,
+        state: StateClient,
+        replica: Replica,
+        renewal: RenewalPolicy,
+        redirects: WorkerRedirects,
+    ) -> None:
+        self.node = node
+        self.leadership = leadership
+        self.state = state
+        self.replica = replica
+        self.renewal = renewal
+        self.redirects = redirects
+
+    def __call__(self) -> PeerHeartbeat:
+        """The heartbeat, without the log of cancellations."""
+        now = monotonic_time()
+        return PeerHeartbeat(
+            node=self.node,
+            term=self.leadership.known_term,
+            leading=self.leadership.leading,
+            store_down=self.state.down(now, self.renewal.store_down_after_s),
+            replica_loaded=self.replica.loaded,
+            redirected_workers=self.redirects.recent_count(now),
+            incarnation=self.leadership.incarnation,
+            staleness_s=self.renewal.cancellations_staleness_s(now),
+        )
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -13,17 +13,21 @@
 from passrock.controller import keys
 from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
+from passrock.controller.local_heartbeat import LocalHeartbeat
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
 from passrock.controller.user_api import UserApi
+from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.core.budget import Budget, rate_share
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer, Request, Response
-from passrock.io.peers import Link, PeerLink, Peers
+from passrock.io.peer_link import Link, PeerLink
+from passrock.io.peers import PeerExchange, PeerTable
 from passrock.io.state import StateClient, StateError
 from passrock.logs import debug, error, info, start_logging
 from passrock.settings import Settings, warnings
@@ -58,16 +62,23 @@
         self.catalog = MachineCatalog()
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
         self.replica = Replica(state, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
-        self.cancellations = Cancellations(settings.cancel_s * KEEP_CANCELLED)
-        self.cancellations.learned = self._cancelled
-        self.replica.listeners.append(self._listen)
-        self.leadership = Leadership(settings, state, self.replica, self.cancellations, rng)
-        self.leadership.changed.append(self._role_changed)
-        self.peers = Peers(links, self.leadership.view, self.leadership.heard, self.cancellations)
-        self.leadership.peers = self.peers
+        self.cancellations = CancellationLog(settings.cancel_s * KEEP_CANCELLED, on_learned=self._cancelled)
+        self.replica.subscribe(self._listen)
+        self.leadership = Leadership(settings, state, self.replica, rng)
+        self.leadership.subscribe(self._role_changed)
+        self.peer_table = PeerTable(links, settings.report_s)
+        self.renewal = RenewalPolicy(settings, self.leadership, state, self.replica, self.peer_table)
+        self.redirects = WorkerRedirects(settings, self.leadership, state, self.replica, self.peer_table)
         self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog)
         self.leader_term: LeaderTerm | None = None
         self.admission = self._switch_on_admission(rng)
+        self.peers = PeerExchange(
+            self.peer_table,
+            LocalHeartbeat(settings.node, self.leadership, state, self.replica, self.renewal, self.redirects),
+            self.leadership.on_peer_heartbeat,
+            self.cancellations,
+            [] if self.admission is None else [self.admission],
+        )
         self._share_rates(False)
 
     def _switch_on_admission(self, rng: random.Random) -> AdmissionControl | None:
@@ -77,10 +88,9 @@
         from passrock.admission.controller.control import AdmissionControl
 
         control = AdmissionControl(
-            self.settings, self.settings.admission, self.state, self.replica, self.leadership, self.peers, rng
+            self.settings, self.settings.admission, self.state, self.replica, self.leadership, self.peer_table, rng
         )
         self.replica.prefixes += (keys.ALLOCATION,)
-        self.peers.extensions.append(control)
         self.user_api.gate = control
         return control
 
@@ -109,6 +119,8 @@
                 self.replica,
                 self.cancellations,
                 self.leadership,
+                self.renewal,
+                self.peer_table,
                 self.catalog,
             )
             self.leader_term.start()
@@ -155,10 +167,10 @@
         now = monotonic_time()
         if not self.state.down(now, 1.5):
             return True
-        answers = self.peers.answers(now - 3.0)
-        if any(not heartbeat.state_down for heartbeat, _ in answers):
+        heartbeats = self.peer_table.heartbeats(now - 3.0)
+        if any(not heartbeat.store_down for heartbeat in heartbeats):
             return False
-        return (len(answers) + 1) * 2 > self.settings.nodes
+        return (len(heartbeats) + 1) * 2 > self.settings.nodes
 
     def _checkin(self, request: Request) -> Response | Awaitable[Response]:
         try:
@@ -166,10 +178,10 @@
         except MalformedBodyError as problem:
             return Response(400, user_wire.error_answer(str(problem)))
         self.leadership.observe_term(heartbeat.token)
-        if not self.leadership.may_renew():
-            if self.leadership.may_renew_leaderless(heartbeat.token):
+        if not self.renewal.may_renew():
+            if self.renewal.may_renew_leaderless(heartbeat.token):
                 return Response(200, worker_wire.answer(heartbeat.token, self._stops(heartbeat)))
-            return Response(421, worker_wire.redirect(self.leadership.redirect(heartbeat.machine, heartbeat.token)))
+            return Response(421, worker_wire.redirect(self.redirects.target(heartbeat.machine, heartbeat.token)))
         if self.leader_term is None or not self.leader_term.ready:
             return Response(200, worker_wire.answer(self.leadership.term, self._stops(heartbeat)))
         commands = self.leader_term.heartbeat_handler.handle(heartbeat)
@@ -191,7 +203,7 @@
         commands = await work
         if commands is None:
             return Response(503)
-        if not self.leadership.may_renew() or self.leadership.term != term:
+        if not self.renewal.may_renew() or self.leadership.term != term:
             return Response(421, worker_wire.redirect(None))
         return Response(200, worker_wire.answer(term, commands))
 
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -6,7 +6,7 @@
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.replica import Replica
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.io.clock import monotonic_time, time_of_day
@@ -15,7 +15,7 @@
 
 def load_records(
     replica: Replica,
-    cancellations: Cancellations,
+    cancellations: CancellationLog,
     job_table: JobTable,
     inventory: MachineInventory,
     rounds: BindingRounds,
@@ -38,7 +38,7 @@
         if job is not None:
             job_table.cancel(job, confirmed_at(entry))
     for job in list(job_table.jobs.values()):
-        heard = cancellations.when(job.spec.id)
+        heard = cancellations.learned_at(job.spec.id)
         if heard is not None:  # a peer may have told of it before the copy shows the mark
             job_table.cancel(job, heard)
         job_table.check_loaded(job)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -10,9 +10,10 @@
 
 from passrock.controller import keys
 from passrock.controller.intake import IntakeGate, Refusal
-from passrock.controller.replica import READ_WAIT_S, ReadFence, Replica
+from passrock.controller.read_fence import READ_WAIT_S, ReadFence
+from passrock.controller.replica import Replica
 from passrock.controller.submissions import PermitLapsedError, Submitter
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.limiter import Limiter
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
@@ -64,7 +65,7 @@
         settings: Settings,
         state: StateClient,
         replica: Replica,
-        cancellations: Cancellations,
+        cancellations: CancellationLog,
         catalog: MachineCatalog,
     ) -> None:
         self.settings = settings
@@ -154,7 +155,7 @@
         if status is not None:
             return JobStatus(status)
         for _ in range(READ_TRIES):
-            if await self.fence.passed():
+            if await self.fence.wait():
                 known = self._unfinished(job_id)
                 if known is not None:
                     return known
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -1,42 +1,54 @@
-"""What one controller knows of cancellations, and until when that knowledge is whole.
+"""The log of cancellations on one controller, how it is replicated, and up to when it is complete.
 
 Whoever renews a worker's lease keeps the tasks on it alive. So it must know every cancellation that any
-controller has told a user, but for those so young that the lease it gives ends in time all the same.
+controller has confirmed to a user, except those so young that the lease it grants ends in time all the same.
 """
 
 from __future__ import annotations
 
-import math
 from collections import deque
 from collections.abc import Callable, Sequence
 from itertools import islice
 from threading import Lock
+from typing import NamedTuple
 
-from passrock.core.inventory import DRIFT
+import msgspec
 
-NEVER = -math.inf
+from passrock.core.instants import NEVER
+from passrock.core.inventory import DRIFT
 
 
 def renewal_horizon(cancel_s: float, lease_s: float, report_s: float) -> float:
-    """How old a cancellation may be that a controller doesn't know when it renews a worker's lease.
+    """How old, in seconds, a cancellation may be that a controller doesn't know when it renews a worker's lease.
 
-    The lease ends at the latest ``lease_s`` after the renewal by any clock, and the tasks with it; a report
-    interval is left for the worker to notice. All must be over within ``cancel_s`` of the confirmation.
+    The lease expires at the latest ``lease_s`` after the renewal by any clock, and the tasks end with it; a
+    heartbeat interval is left for the worker to notice. All must be over within ``cancel_s`` of the confirmation.
     """
     return (cancel_s - lease_s * DRIFT - report_s) / DRIFT
 
 
-class Cancellations:
+class LogSlice(NamedTuple):
+    """Consecutive entries of a cancellation log, and the index of the first of them."""
+
+    first: int
+    job_ids: list[str]
+
+
+class CancellationLog:
     """The jobs whose cancellation is committed, in the order in which this process learned of them.
 
-    A job is entered before this controller tells its user. Peers take the list over piece by piece. Entries
-    that are older than ``keep_s`` are dropped: their tasks are long gone by the rule itself.
+    A job is appended before this controller answers its user. Peers replicate the log slice by slice. Entries
+    older than ``keep_s`` are dropped: the rule itself says that their tasks ended long before.
+
+    Args:
+        keep_s: seconds for which an entry is kept.
+        on_learned: called with each new job id, whoever brought it: a user, a peer or the replica.
     """
 
-    def __init__(self, keep_s: float) -> None:
+    def __init__(self, keep_s: float, on_learned: Callable[[str], None] | None = None) -> None:
         self.keep_s = keep_s
-        self.learned: Callable[[str], None] = lambda job_id: None  # told of each new entry, whoever brought it
-        self.first = 0  # the number of the oldest entry that is kept
+        self.first = 0  # index of the oldest entry that is kept
+        self._on_learned = on_learned
         self._order: deque[tuple[str, float]] = deque()
         self._known: dict[str, float] = {}
         self._lock = Lock()
@@ -44,17 +56,17 @@
     def __contains__(self, job_id: str) -> bool:
         return job_id in self._known
 
-    def when(self, job_id: str) -> float | None:
-        """When the cancellation was learned of, by the steady clock."""
+    def learned_at(self, job_id: str) -> float | None:
+        """When the cancellation was learned of, by the monotonic clock; None for a job that isn't in the log."""
         return self._known.get(job_id)
 
     @property
     def total(self) -> int:
-        """The number of the next entry."""
+        """The number of entries so far, dropped ones included: the index of the next one."""
         return self.first + len(self._order)
 
     def learn(self, job_id: str, now: float) -> bool:
-        """Enter a committed cancellation; whether it is news."""
+        """Append a committed cancellation, unless it is known; returns whether it is new."""
         with self._lock:
             while self._order and now - self._order[0][1] > self.keep_s:
                 old, _ = self._order.popleft()
@@ -64,63 +76,82 @@
                 return False
             self._known[job_id] = now
             self._order.append((job_id, now))
-        self.learned(job_id)
+        if self._on_learned is not None:
+            self._on_learned(job_id)
         return True
 
-    def piece(self, start: int, most: int) -> tuple[int, list[str]]:
-        """Up to ``most`` entries from number ``start`` on, and the number of the first of them."""
+    def entries_since(self, index: int, limit: int) -> LogSlice:
+        """Up to ``limit`` entries from ``index`` on, or from the oldest one that is kept."""
         with self._lock:
-            start = max(self.first, start)
-            offset = start - self.first
-            return start, [job_id for job_id, _ in islice(self._order, offset, offset + most)]
+            first = max(self.first, index)
+            offset = first - self.first
+            return LogSlice(first, [job_id for job_id, _ in islice(self._order, offset, offset + limit)])
+
+
+class PeerLogAnswer(msgspec.Struct, frozen=True):
+    """What one answer of a peer says about its log of cancellations.
+
+    Attributes:
+        incarnation: which process of that node answered; each has a log of its own.
+        replica_loaded: whether it has read the key-value store since its start.
+        staleness_s: it knows everything that anyone confirmed this many seconds before it was asked, or earlier;
+            None when it can't say.
+        first: index of the first of the entries below.
+        total: the number of entries in its log so far.
+        job_ids: a slice of its log.
+    """
+
+    incarnation: int
+    replica_loaded: bool
+    staleness_s: float | None
+    first: int
+    total: int
+    job_ids: Sequence[str]
+
 
+class PeerLogProgress:
+    """How far one peer's log of cancellations has been applied here.
 
-class PeerKnowledge:
-    """How far one peer's list has been taken in.
+    A peer that restarts begins a new log, and proves nothing by it before it has read the key-value store again:
+    what its former incarnation confirmed may be known to nobody.
 
-    ``until``: every cancellation that this peer has told before then is known here. ``claimed``: this peer knew
-    every cancellation told by anyone before then, and all that it knew is known here. A peer that restarts
-    begins a new list, and proves nothing by it before it has read the state again: what its former self told
-    may be known to nobody.
+    Attributes:
+        incarnation: the process of the peer whose log is being applied, 0 for none.
+        applied: the number of entries of that log that are known here.
+        complete_until: every cancellation that this peer confirmed before then is known here.
+        claimed_until: this peer knew every cancellation that anyone confirmed before then, and all that it knew is
+            known here.
     """
 
     def __init__(self) -> None:
-        self.run = 0
-        self.taken = 0
-        self.until = NEVER
-        self.claimed = NEVER
-
-    def take(
-        self,
-        run: int,
-        has_read: bool,
-        whole_age: float | None,
-        first: int,
-        total: int,
-        entries: Sequence[str],
-        asked_at: float,
-    ) -> Sequence[str]:
-        """Take in an answer to what was asked at ``asked_at``; the entries that are new here.
-
-        The caller enters them before anything else happens.
+        self.incarnation = 0
+        self.applied = 0
+        self.complete_until = NEVER
+        self.claimed_until = NEVER
+
+    def apply(self, answer: PeerLogAnswer, asked_at: float) -> Sequence[str]:
+        """Advance by an answer to what was asked at ``asked_at``; returns the entries that are new here.
+
+        The caller appends them to its own log before anything else happens.
         """
-        if run != self.run:
-            self.run, self.taken = run, 0
-        fresh = entries[max(0, self.taken - first) :]
-        self.taken = max(self.taken, first + len(entries))
-        if self.taken >= total:
-            if has_read:
-                self.until = max(self.until, asked_at)
-            if whole_age is not None:
-                self.claimed = max(self.claimed, asked_at - whole_age)
+        if answer.incarnation != self.incarnation:
+            self.incarnation, self.applied = answer.incarnation, 0
+        fresh = answer.job_ids[max(0, self.applied - answer.first) :]
+        self.applied = max(self.applied, answer.first + len(answer.job_ids))
+        if self.applied >= answer.total:
+            if answer.replica_loaded:
+                self.complete_until = max(self.complete_until, asked_at)
+            if answer.staleness_s is not None:
+                self.claimed_until = max(self.claimed_until, asked_at - answer.staleness_s)
         return fresh
 
 
-def whole_until(read_at: float, peers: Sequence[PeerKnowledge], now: float) -> float:
-    """Every cancellation told by any controller before this time is known here.
+def complete_until(read_at: float, peers: Sequence[PeerLogProgress], now: float) -> float:
+    """The time before which every cancellation confirmed by any controller is known here.
 
-    ``read_at``: when the last read of the state began that proved this process's copy whole. What this process
-    told itself it knows, and what its former selves told it has read if it has read at all.
+    ``read_at`` is when the last read of the key-value store began that proved this process's replica complete.
+    What this process confirmed it knows, and what its former incarnations confirmed it has read if it has read at
+    all.
     """
-    own = min((peer.until for peer in peers), default=now) if read_at > NEVER else NEVER
-    return max(read_at, own, max((peer.claimed for peer in peers), default=NEVER))
+    confirmed_by_all = min((peer.complete_until for peer in peers), default=now) if read_at > NEVER else NEVER
+    return max(read_at, confirmed_by_all, max((peer.claimed_until for peer in peers), default=NEVER))
--- a/src/passrock/io/clock.py
+++ b/src/passrock/io/clock.py
@@ -1,4 +1,4 @@
-"""The steady clock and the time of day, taken from the running loop so that tests can drive them."""
+"""The monotonic clock and the wall clock, behind functions so that tests can drive both."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 def monotonic_time() -> float:
-    """Seconds on the steady clock."""
+    """Seconds on the running loop's monotonic clock; only differences mean anything."""
     return asyncio.get_running_loop().time()
 
 
-_wall: Callable[[], float] = time.time
+_wall_clock: Callable[[], float] = time.time
 
 
 def use_wall_clock(source: Callable[[], float]) -> None:
-    """Take the time of day from elsewhere, as a simulation does."""
-    global _wall
-    _wall = source
+    """Take the wall clock from elsewhere, as a simulation does."""
+    global _wall_clock
+    _wall_clock = source
 
 
 def time_of_day() -> float:
-    """Seconds since 1970."""
-    return _wall()
+    """Seconds since 1970 on the wall clock, which may step; stored records carry these."""
+    return _wall_clock()
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other: msgspec messages, each behind its length."""
+"""The other controllers: what they said last, and the exchange of heartbeats and cancellations with them."""
 
 from __future__ import annotations
 
@@ -9,271 +9,152 @@
 
 import msgspec
 
-from passrock.core.cancellations import Cancellations, PeerKnowledge
+from passrock.core.cancellations import CancellationLog, PeerLogAnswer, PeerLogProgress
+from passrock.core.instants import NEVER
 from passrock.io.clock import monotonic_time
-from passrock.logs import debug
-from passrock.settings import Address, Peer
+from passrock.io.peer_link import Link, PeerAnswer, PeerConnection
+from passrock.io.peer_messages import PeerHeartbeat
+from passrock.settings import Address
 
-LENGTH = 4
-MESSAGE_LIMIT = 16 * 1024
-PIECE = 100  # cancellations in one message, far inside its limit
+SLICE_LIMIT = 100  # cancellations in one message, far inside its limit
+LEAST_SUPPORT_S = 1.0
 
 
-class PeerHeartbeat(msgspec.Struct, frozen=True):
-    """A controller's view: the highest term it knows, whether it leads, how it sees the state service.
+class PeerTable:
+    """What each peer said last, and how far its log of cancellations has been applied here.
 
-    ``redirects`` counts the workers of that term which it had to send to the leader lately. ``run`` tells one life
-    of the process from another. It knows every cancellation that anyone was told of ``whole_age`` seconds ago or
-    earlier (None: it can't say); ``cancelled`` are entries of its list of them from number ``first`` on, out of
-    ``total``. The sender has taken in the receiver's list, of its life ``taken_run``, up to number ``taken``.
+    Attributes:
+        links: one for each other controller.
+        support_s: for how many seconds from its question an answer may be relied on.
+        progress: how far the log of cancellations of each peer has been applied, in the order of the links.
     """
 
-    node: str
-    term: int
-    leading: bool
-    state_down: bool
-    has_read: bool
-    redirects: int = 0
-    run: int = 0
-    whole_age: float | None = None
-    taken_run: int = 0
-    taken: int = 0
-    first: int = 0
-    total: int = 0
-    cancelled: tuple[str, ...] = ()
-    extensions: dict[str, bytes] | msgspec.UnsetType = msgspec.UNSET  # absent unless a subsystem is switched on
-
-    def extension(self, name: str) -> bytes | None:
-        """What a subsystem of the sender has to say, or None where it is switched off there."""
-        return None if self.extensions is msgspec.UNSET else self.extensions.get(name)
-
-    def fault(self) -> str | None:
-        """What this message says that can't be, or None."""
-        if min(self.term, self.redirects, self.run, self.taken_run, self.taken, self.first, self.total) < 0:
-            return "a negative number"
-        if self.first + len(self.cancelled) > self.total:
-            return "more entries than there are"
-        if self.whole_age is not None and not 0.0 <= self.whole_age < float("inf"):
-            return "an age that can't be"
-        return None
-
-
-_encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(PeerHeartbeat)
-
-
-def frame(message: PeerHeartbeat) -> bytes:
-    """A message with its length."""
-    body = _encoder.encode(message)
-    return len(body).to_bytes(LENGTH, "big") + body
-
-
-class PeerConnection(asyncio.Protocol):
-    """Takes whole messages out of a connection, in either role."""
-
-    def __init__(self, receive: Callable[[PeerConnection, PeerHeartbeat], None]) -> None:
-        self.receive = receive
-        self.transport: asyncio.Transport | None = None
-        self.buffer = b""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the new connection."""
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the transport; the connection has ended."""
-        self.transport = None
-
-    def data_received(self, data: bytes) -> None:
-        """Take in what has arrived."""
-        self.buffer += data
-        while len(self.buffer) >= LENGTH:
-            size = int.from_bytes(self.buffer[:LENGTH], "big")
-            if size > MESSAGE_LIMIT:
-                self.drop("too long")
-                return
-            if len(self.buffer) < LENGTH + size:
-                return
-            body, self.buffer = self.buffer[LENGTH : LENGTH + size], self.buffer[LENGTH + size :]
-            try:
-                message = _decoder.decode(body)
-                fault = message.fault()
-            except msgspec.DecodeError as error:
-                fault = str(error)
-            if fault is not None:
-                self.drop(fault)
-                return
-            self.receive(self, message)
-
-    def send(self, message: PeerHeartbeat) -> None:
-        """Write a message, if still connected."""
-        if self.transport is not None:
-            self.transport.write(frame(message))
+    def __init__(self, links: Sequence[Link], report_s: float) -> None:
+        self.links = links
+        self.support_s = max(LEAST_SUPPORT_S, report_s)
+        self.progress = [PeerLogProgress() for _ in links]
 
-    def drop(self, reason: str) -> None:
-        """Close on something that is not a message."""
-        debug("peer_message_malformed", reason=reason)
-        if self.transport is not None:
-            self.transport.abort()
+    def heartbeats(self, since: float = NEVER) -> list[PeerHeartbeat]:
+        """The last heartbeat of each peer that was asked for at ``since`` or later."""
+        return [
+            link.answer.heartbeat for link in self.links if link.answer is not None and link.answer.asked_at >= since
+        ]
 
+    def recent_heartbeats(self, now: float) -> list[PeerHeartbeat]:
+        """The last heartbeat of each peer whose answer may be relied on still."""
+        return self.heartbeats(now - self.support_s)
 
-class PeerLink:
-    """Asks one peer again and again; keeps its last answer and when that was asked for."""
+    def redirected_workers(self, now: float) -> int:
+        """How many workers came to other controllers lately instead of this one."""
+        return sum(heartbeat.redirected_workers for heartbeat in self.recent_heartbeats(now))
 
-    def __init__(self, peer: Peer) -> None:
-        self.peer = peer
-        self.connection: PeerConnection | None = None
-        self.answer: PeerHeartbeat | None = None
-        self.asked_at = -1e9
-        self.waiting_since: float | None = None
-        self.heard: Callable[[PeerHeartbeat, float], None] = lambda heartbeat, asked_at: None
-        self._sent: list[float] = []
+    def any_unresponsive(self, now: float, after_s: float) -> bool:
+        """Whether some peer has neither answered nor refused for ``after_s``.
 
-    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
-        """Send our view; the answer arrives later or never."""
-        if self.waiting_since is None:
-            self.waiting_since = monotonic_time()
-        if self.connection is None or self.connection.transport is None:
-            self._sent.clear()
-            loop = asyncio.get_running_loop()
-            address = self.peer.address
-            try:
-                async with asyncio.timeout(timeout):
-                    _, self.connection = await loop.create_connection(
-                        lambda: PeerConnection(self._answered), address.host, address.port
-                    )
-            except TimeoutError:
-                return
-            except OSError:
-                self.waiting_since = None
-                return
-        if len(self._sent) > 8:  # a peer that has stopped answering: begin again
-            self.connection.drop("no answers")
-            self.connection = None
-            return
-        self._sent.append(monotonic_time())
-        self.connection.send(heartbeat)
-
-    def _answered(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
-        if connection is not self.connection or not self._sent:
-            return
-        if heartbeat.node != self.peer.node:
-            connection.drop("another node's answer")
-            return
-        self.waiting_since = None
-        self.asked_at = self._sent.pop(0)
-        self.answer = heartbeat
-        self.heard(heartbeat, self.asked_at)
+        Such a controller stands still or is cut off, and workers may be waiting for its answer as this one is.
+        """
+        return any(link.waiting_since is not None and now - link.waiting_since > after_s for link in self.links)
 
 
 class Extension(Protocol):
-    """A subsystem's own part in what controllers tell each other. It bounds and checks what it exchanges."""
+    """A subsystem's own part in heartbeats. It bounds and checks what it exchanges."""
 
     name: str
 
     def outgoing(self) -> bytes:
-        """What goes with this controller's view."""
+        """What goes with this controller's heartbeat."""
 
     def received(self, node: str, data: bytes) -> None:
         """A peer's part arrived."""
 
 
-class Link(Protocol):
-    """A way to ask one peer."""
-
-    answer: PeerHeartbeat | None
-    asked_at: float
-    waiting_since: float | None  # asked since then with neither an answer nor a refusal
-    heard: Callable[[PeerHeartbeat, float], None]  # called with each answer and when it was asked for
-
-    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
-        """Send our view."""
+class PeerExchange:
+    """Sends heartbeats to the peers, answers theirs, and replicates the log of cancellations with both.
 
-
-class Peers:
-    """All other controllers."""
+    Args:
+        table: the links, and where the progress of replication is kept.
+        local_heartbeat: makes this controller's heartbeat, without its log and extensions.
+        on_heartbeat: called with every heartbeat of a peer, question or answer.
+        cancellations: this controller's own log.
+        extensions: the subsystems that are switched on.
+    """
 
     def __init__(
         self,
-        links: Sequence[Link],
-        own_view: Callable[[], PeerHeartbeat],
-        seen: Callable[[PeerHeartbeat], None],
-        cancellations: Cancellations,
+        table: PeerTable,
+        local_heartbeat: Callable[[], PeerHeartbeat],
+        on_heartbeat: Callable[[PeerHeartbeat], None],
+        cancellations: CancellationLog,
+        extensions: Sequence[Extension] = (),
     ) -> None:
-        self.links = links
-        self.own_view = own_view
-        self.seen = seen
+        self.table = table
         self.cancellations = cancellations
-        self.extensions: list[Extension] = []
-        self.knowledge = [PeerKnowledge() for _ in links]
-        for link, knowledge in zip(links, self.knowledge, strict=True):
-            link.heard = partial(self._heard, knowledge)
+        self.extensions = extensions
+        self._local_heartbeat = local_heartbeat
+        self._on_heartbeat = on_heartbeat
+        for link, progress in zip(table.links, table.progress, strict=True):
+            link.subscribe(partial(self._answered, progress))
 
     async def listen(self, address: Address) -> asyncio.Server:
         """Answer the other controllers."""
         loop = asyncio.get_running_loop()
         return await loop.create_server(lambda: PeerConnection(self._asked), address.host, address.port)
 
-    def _asked(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
-        connection.send(self.reply(heartbeat))
+    async def run(self, every_s: float) -> None:
+        """Ask every peer again and again."""
+        while True:
+            heartbeat = self.heartbeat()
+            await asyncio.gather(
+                *(
+                    link.ask(
+                        msgspec.structs.replace(
+                            heartbeat, applied_incarnation=progress.incarnation, applied=progress.applied
+                        ),
+                        every_s,
+                    )
+                    for link, progress in zip(self.table.links, self.table.progress, strict=True)
+                )
+            )
+            await asyncio.sleep(every_s)
+
+    def heartbeat(self) -> PeerHeartbeat:
+        """This controller's heartbeat, with what the subsystems that are switched on add to it."""
+        heartbeat = self._local_heartbeat()
+        if not self.extensions:
+            return heartbeat
+        return msgspec.structs.replace(heartbeat, extensions={one.name: one.outgoing() for one in self.extensions})
 
     def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
-        """Take in a peer's view and give ours, with the cancellations that it doesn't know yet."""
-        self._take(heartbeat)
-        view = self._view()
-        start = heartbeat.taken if heartbeat.taken_run == view.run else 0
-        first, entries = self.cancellations.piece(start, PIECE)
-        total = self.cancellations.total
-        return msgspec.structs.replace(view, first=first, total=total, cancelled=tuple(entries))
+        """Accept a peer's heartbeat and answer with ours, and with the cancellations that it hasn't applied yet."""
+        self._receive(heartbeat)
+        answer = self.heartbeat()
+        index = heartbeat.applied if heartbeat.applied_incarnation == answer.incarnation else 0
+        entries = self.cancellations.entries_since(index, SLICE_LIMIT)
+        return msgspec.structs.replace(
+            answer, first=entries.first, total=self.cancellations.total, cancelled=tuple(entries.job_ids)
+        )
+
+    def _asked(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
+        connection.send(self.reply(heartbeat))
 
-    def _heard(self, knowledge: PeerKnowledge, heartbeat: PeerHeartbeat, asked_at: float) -> None:
-        """Enter what a peer knows of cancellations, before the answer counts for anything."""
-        fresh = knowledge.take(
-            heartbeat.run,
-            heartbeat.has_read,
-            heartbeat.whole_age,
-            heartbeat.first,
-            heartbeat.total,
-            heartbeat.cancelled,
-            asked_at,
+    def _answered(self, progress: PeerLogProgress, answer: PeerAnswer) -> None:
+        """Append what a peer knows of cancellations, before its answer counts for anything."""
+        heartbeat = answer.heartbeat
+        log_answer = PeerLogAnswer(
+            incarnation=heartbeat.incarnation,
+            replica_loaded=heartbeat.replica_loaded,
+            staleness_s=heartbeat.staleness_s,
+            first=heartbeat.first,
+            total=heartbeat.total,
+            job_ids=heartbeat.cancelled,
         )
-        for job_id in fresh:
+        for job_id in progress.apply(log_answer, answer.asked_at):
             self.cancellations.learn(job_id, monotonic_time())
-        self._take(heartbeat)
+        self._receive(heartbeat)
 
-    def _take(self, heartbeat: PeerHeartbeat) -> None:
-        self.seen(heartbeat)
+    def _receive(self, heartbeat: PeerHeartbeat) -> None:
+        self._on_heartbeat(heartbeat)
         for extension in self.extensions:
             data = heartbeat.extension(extension.name)
             if data is not None:
                 extension.received(heartbeat.node, data)
-
-    def _view(self) -> PeerHeartbeat:
-        """Our view, with what the subsystems that are switched on add to it."""
-        view = self.own_view()
-        if not self.extensions:
-            return view
-        return msgspec.structs.replace(view, extensions={one.name: one.outgoing() for one in self.extensions})
-
-    async def run(self, every: float) -> None:
-        """Ask every peer again and again."""
-        while True:
-            heartbeat = self._view()
-            await asyncio.gather(
-                *(
-                    link.ask(msgspec.structs.replace(heartbeat, taken_run=known.run, taken=known.taken), every)
-                    for link, known in zip(self.links, self.knowledge, strict=True)
-                )
-            )
-            await asyncio.sleep(every)
-
-    def answers(self, since: float) -> list[tuple[PeerHeartbeat, float]]:
-        """Answers to what was asked after ``since``, with the time of asking."""
-        return [
-            (link.answer, link.asked_at) for link in self.links if link.answer is not None and link.asked_at >= since
-        ]
-
-    def hanging(self, now: float, after: float) -> bool:
-        """Whether some peer neither answers nor refuses: it stands still or is cut off, and its callers wait too."""
-        return any(link.waiting_since is not None and now - link.waiting_since > after for link in self.links)
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -11,6 +11,7 @@
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import NoAnswerError
 from passrock.io.http_server import Response
+from passrock.io.peer_link import PeerAnswer
 from passrock.io.state import StateClient
 from passrock.settings import Operator, parse_settings
 from standins import virtual_time
@@ -68,9 +69,11 @@
     def __init__(self, cluster, node, peer):
         self.cluster, self.node, self.peer = cluster, node, peer
         self.answer = None
-        self.asked_at = -1e9
         self.waiting_since = None
-        self.heard = lambda heartbeat, asked_at: None
+        self.listeners = []
+
+    def subscribe(self, listener):
+        self.listeners.append(listener)
 
     async def ask(self, heartbeat, timeout):
         other = self.cluster.nodes.get(self.peer)
@@ -83,10 +86,10 @@
         while other.frozen_until > self.cluster.now():
             await asyncio.sleep(other.frozen_until - self.cluster.now())
         if other.alive and other is self.cluster.nodes.get(self.peer):
-            self.answer = other.node.peers.reply(heartbeat)
-            self.asked_at = sent
+            self.answer = PeerAnswer(other.node.peers.reply(heartbeat), sent)
             self.waiting_since = None
-            self.heard(self.answer, sent)
+            for listener in self.listeners:
+                listener(self.answer)
 
 
 class SimulatedController:
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -14,7 +14,7 @@
 from passrock.admission.wire import allocation_record
 from passrock.controller import keys
 from passrock.core.records import PERMIT_MARK
-from passrock.io.peers import frame
+from passrock.io.peer_messages import frame
 from passrock.io.state import UnknownOutcomeError
 from standins import virtual_time
 from standins.admission_load import ADMISSION, SLOT_S, Flood, flood_world, submit
@@ -285,7 +285,7 @@
         await submit(cluster, checker, spec)
         node = cluster.nodes["n0"].node
         records = [entry for entry, *_ in cluster.state.data.values()]
-        return checker, node.peers._view(), records
+        return checker, node.peers.heartbeat(), records
 
     checker, view, records = virtual_time.run(main())
     assert checker.pages == {} and checker.unmarked == 1
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -3,9 +3,9 @@
 import pytest
 
 from passrock.controller.failure_detector import FailureDetector
-from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.user_api import UnavailableError, UserApi
-from passrock.core.cancellations import PeerKnowledge
+from passrock.core.cancellations import PeerLogProgress
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from standins import virtual_time
@@ -21,12 +21,12 @@
 
 
 def believes_that_it_knows(monkeypatch):
-    monkeypatch.setattr(Leadership, "knows_cancellations", lambda self, within_s: True)
+    monkeypatch.setattr(RenewalPolicy, "knows_cancellations", lambda self, within_s: True)
 
 
 def takes_in_nothing(monkeypatch):
-    take = PeerKnowledge.take
-    monkeypatch.setattr(PeerKnowledge, "take", lambda self, *answer: [] if take(self, *answer) else [])
+    apply = PeerLogProgress.apply
+    monkeypatch.setattr(PeerLogProgress, "apply", lambda self, *answer: [] if apply(self, *answer) else [])
 
 
 def waits_for_a_crowd_with_cancelled_tasks(monkeypatch):
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -7,7 +7,7 @@
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import DELETED_KEPT, MachineInventory
 from passrock.io.http_server import Request
 from passrock.io.state import Refused
@@ -312,7 +312,7 @@
     for number in range(DELETED_KEPT + 500):
         inventory.forget(f"host-{number:06d}", float(number))
     assert len(inventory.deleted) == DELETED_KEPT and "host-000000" not in inventory.deleted
-    heard = Cancellations(keep_s=60.0)
+    log = CancellationLog(keep_s=60.0)
     for second in range(1000):
-        heard.learn(f"wk-{second}", float(second))
-    assert heard.total == 1000 and len(heard.piece(0, 1000)[1]) == 61
+        log.learn(f"wk-{second}", float(second))
+    assert log.total == 1000 and len(log.entries_since(0, 1000).job_ids) == 61
