--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -74,7 +74,7 @@
                     await self._load()
                 started = monotonic_time()
                 changes, revision = await self.state.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
-                self._apply(changes, revision)
+                self.apply(changes, revision)
                 self.mark_complete(started)
                 # each new watch is a request: at a high rate of changes it waits, and brings several at a time
                 await asyncio.sleep(WATCH_GAP_REQUESTS / self.state.requests.rate)
@@ -117,7 +117,8 @@
         """A read that began then has shown that the replica includes all that was committed before it."""
         self.complete_as_of = max(self.complete_as_of, started)
 
-    def _apply(self, changes: list[Change], revision: int) -> None:
+    def apply(self, changes: list[Change], revision: int) -> None:
+        """Apply changes in the order of a watch that has reached ``revision``, and tell the listeners of each."""
         for change in changes:
             entry = Entry(change.key, change.value, change.mod_revision) if change.present else None
             if change.key.startswith(keys.FINAL):
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -38,7 +38,7 @@
         a large part of the worker's lease.
         """
         now = monotonic_time()
-        leader = self._leader(now)
+        leader = self.leader(now)
         lost, known_term = self.lost_workers, self.leadership.known_term
         if token and not self.leadership.leading:
             lost.record_visit(machine, token, leader, known_term, now)
@@ -47,11 +47,7 @@
             return lost.next_follower(self._followers(now), self.node)
         return leader if leader != self.node else None
 
-    def recent_count(self, now: float) -> int:
-        """How many workers that know the present term came here lately."""
-        return self.lost_workers.count(self.leadership.known_term, now)
-
-    def _leader(self, now: float) -> str | None:
+    def leader(self, now: float) -> str | None:
         """The node that leads, as far as is known here lately.
 
         A peer that says so itself comes first. The replica counts only while the key-value store is
@@ -69,6 +65,10 @@
             return None  # the replica lags: that leader has been replaced
         return node
 
+    def recent_count(self, now: float) -> int:
+        """How many workers that know the present term came here lately."""
+        return self.lost_workers.count(self.leadership.known_term, now)
+
     def _followers(self, now: float) -> list[str]:
         """The other controllers that answered lately and don't lead."""
         return [heartbeat.node for heartbeat in self.peers.recent_heartbeats(now) if not heartbeat.leading]
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -48,20 +48,24 @@
 from passrock.controller.node import Node
 from passrock.controller.provisioner import Provisioner
 from passrock.controller.record_loader import load_records
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
 from passrock.controller.submissions import Submitter
+from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.core.budget import Budget
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.messages import Command, Op, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 from passrock.core.records import Permit, decode_spec
 from passrock.core.scaling import MachineCatalog, Offer
-from passrock.io.clock import use_wall_clock
+from passrock.io.clock import monotonic_time, use_wall_clock
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request
-from passrock.io.peers import PeerConnection, PeerHeartbeat, Peers, frame
+from passrock.io.peer_link import PeerAnswer, PeerConnection
+from passrock.io.peer_messages import PeerHeartbeat, frame
+from passrock.io.peers import PeerExchange, PeerTable
 from passrock.io.state import StateClient
 from passrock.settings import Operator, parse_settings
 from passrock.wire import cloud, state, users, workers
@@ -449,11 +453,17 @@
 
 def make_leadership(client, replica, term=41, stamp=97):
     """A leadership that has just been taken."""
-    leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
+    leadership = Leadership(make_settings(), client, replica, random.Random(5))
     leadership.leading, leadership.term, leadership.leader_revision = True, term, stamp
     return leadership
 
 
+def make_redirects(client, replica):
+    settings = make_settings()
+    leadership = Leadership(settings, client, replica, random.Random(5))
+    return WorkerRedirects(settings, leadership, client, replica, PeerTable([], settings.report_s))
+
+
 def make_rounds(client, harness):
     leadership = make_leadership(client, make_replica(client))
     catalog = MachineCatalog({"box": BOX})
@@ -592,9 +602,7 @@
     """A node takes its own former key over, with the next term."""
     client = state_client(http)
     former = [state.Entry("p/lead", {"node": "n1", "term": 40}, 95), state.Entry("p/term", 40, 94)]
-    leadership = Leadership(
-        make_settings(), client, make_replica(client, former), Cancellations(1e6), random.Random(5)
-    )
+    leadership = Leadership(make_settings(), client, make_replica(client, former), random.Random(5))
     work = asyncio.ensure_future(leadership.run())
     while not leadership.leading:
         await asyncio.sleep(0.1)
@@ -663,7 +671,7 @@
     client = state_client(RecordingHttp())
     rounds, queue = make_rounds(client, harness), commit_queue(client, harness.job_table)
     load_records(
-        make_replica(client, entries), Cancellations(1e6), harness.job_table, harness.inventory, rounds, queue
+        make_replica(client, entries), CancellationLog(1e6), harness.job_table, harness.inventory, rounds, queue
     )
     return harness, rounds, queue
 
@@ -748,21 +756,16 @@
         client = state_client(RecordingHttp())
         client.last_good = 0.0
         replica = make_replica(client, entries)
-        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
-        for entry in entries:
-            for listener in replica.listeners:
-                listener(entry.key, entry)
-        return leadership.leader(), leadership.known_term
+        redirects = make_redirects(client, replica)
+        replica.apply([state.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
+        return redirects.leader(monotonic_time()), redirects.leadership.known_term
 
     assert virtual_time.run(main()) == ("n1", 41)
 
 
 def show(node, key, value, version=7):
     """Let a node's copy of the state show an entry."""
-    entry = state.Entry(key, value, version)
-    node.replica.entries[key] = entry
-    for listener in node.replica.listeners:
-        listener(key, entry)
+    node.replica.apply([state.Change(key, True, value, version)], 0)
 
 
 def test_golden_permit_mark_counts_the_job_in_its_slot(wall_clock):
@@ -872,7 +875,7 @@
     """A subsystem with its part in the messages, and a link to the one peer; both keep what they get."""
 
     name = "admission"
-    answer, asked_at, waiting_since = None, -1e9, None
+    answer, waiting_since = None, None
 
     def __init__(self):
         self.got, self.sent = [], []
@@ -883,6 +886,9 @@
     def received(self, node, data):
         self.got.append([node, data.hex()])
 
+    def subscribe(self, listener):
+        self.listener = listener
+
     async def ask(self, heartbeat, timeout):
         self.sent.append(frame(heartbeat))
 
@@ -891,13 +897,13 @@
     neighbour = Neighbour()
     seen = []
     view = make_heartbeat(spelt("peers/own_view"))
-    peers = Peers([neighbour], lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known)
-    peers.extensions.append(neighbour)
+    table = PeerTable([neighbour], 1.0)
+    peers = PeerExchange(table, lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known, [neighbour])
     return peers, neighbour, seen
 
 
 def test_answer_to_the_golden_message_keeps_its_bytes():
-    known = Cancellations(1e6)
+    known = CancellationLog(1e6)
     for number in range(20):
         known.learn(f"wk-{5000 + number}", 0.0)
 
@@ -919,12 +925,12 @@
     async def main():
         await asyncio.sleep(10.0)
         node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
-        node.leadership.run_id = node.admission.life = 7000001
-        node.replica.proved(7.375)
+        node.leadership.incarnation = node.admission.life = 7000001
+        node.replica.mark_complete(7.375)
         for number in range(3):
             node.cancellations.learn(f"wk-{5000 + number}", 8.0)
         for number in range(2):
-            node.leadership.redirect(f"host-{number}", 41)
+            node.redirects.target(f"host-{number}", 41)
         node.admission.intake.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
@@ -941,18 +947,18 @@
 
 
 def test_after_the_golden_answer_the_next_question_keeps_its_bytes():
-    known = Cancellations(1e6)
+    known = CancellationLog(1e6)
 
     async def main():
         peers, neighbour, _ = peers_with_a_neighbour(known)
-        neighbour.heard(receive_heartbeat(golden("peers/answer.frame")), 3.0)
+        neighbour.listener(PeerAnswer(receive_heartbeat(golden("peers/answer.frame")), 3.0))
         work = asyncio.ensure_future(peers.run(1.0))
         await asyncio.sleep(0.5)
         work.cancel()
         return neighbour.sent
 
     (question,) = virtual_time.run(main())
-    assert known.piece(0, 100)[1] == spelt("peers/answer")["cancelled"]
+    assert known.entries_since(0, 100).job_ids == spelt("peers/answer")["cancelled"]
     assert decode_heartbeat(question) == positional(spelt("peers/question"))
     assert question == golden("peers/question.frame")
 
@@ -981,8 +987,11 @@
         replica = make_replica(client, unreadable(entries, key))
         leadership = make_leadership(client, replica)
         catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
+        settings, peers = make_settings(), PeerTable([], 1.0)
+        renewal = RenewalPolicy(settings, leadership, client, replica, peers)
+        cloud_http = cloud_client(http)
         term = LeaderTerm(
-            make_settings(), client, cloud_client(http), replica, leadership.cancellations, leadership, catalog
+            settings, client, cloud_http, replica, CancellationLog(1e6), leadership, renewal, peers, catalog
         )
         term.start()
         await asyncio.sleep(3.0)
@@ -1002,7 +1011,7 @@
         client = state_client(RecordingHttp())
         client.last_good = 0.0
         replica = make_replica(client, [state.Entry("p/lead", value, 7)])
-        return Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5)).leader()
+        return make_redirects(client, replica).leader(monotonic_time())
 
     assert virtual_time.run(main()) is None
 
@@ -1012,9 +1021,8 @@
     async def main():
         client = state_client(RecordingHttp())
         replica = make_replica(client)
-        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
-        for listener in replica.listeners:
-            listener("p/term", state.Entry("p/term", value, 7))
+        leadership = Leadership(make_settings(), client, replica, random.Random(5))
+        replica.apply([state.Change("p/term", True, value, 7)], 0)
         return leadership.known_term
 
     assert virtual_time.run(main()) == 0
