--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""A leader that loses its workers alone: the lease is a budget, and every part of the handover has its share."""
+"""A leader that loses its workers alone: the lease is a budget, and every step of the failover has its share."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 
 # Shares of lease_s from the moment of the cut until: the leader has noticed and stepped down, another leads, its
 # records are loaded, the last worker's lease is renewed. A worker waits 4 s for an answer and 1 s before its next
-# attempt, of a lease of 10 s here; what is left is room for one lost message.
+# attempt, of a lease of 10 s here; what is left allows for one lost message.
 STEPPED_DOWN, LEADING, LOADED, RENEWED = 0.66, 0.70, 0.74, 0.85
 
 
 async def lose_workers(seed, cut_share, machines=12):
-    """The leader's links to some of its workers hang; when each step of the handover was reached."""
+    """The leader's links to some of its workers hang; when each step of the failover was reached."""
     cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, limit=24.0)
     for number in range(6):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, volumes=2)
@@ -25,7 +25,7 @@
     lost = workers[: round(len(workers) * cut_share)]
     began = cluster.now()
     cluster.cuts += [("link", (worker.name, old), began + 40.0) for worker in lost]
-    sessions = {worker.name: worker.incarnation for worker in workers}
+    incarnations = {worker.name: worker.incarnation for worker in workers}
     steps = {}
     terms = []
     while cluster.now() < began + 40.0:
@@ -41,7 +41,7 @@
         if all(worker.sent_ok > began for worker in workers):
             steps.setdefault("renewed", cluster.now() - began)
         terms = [sim.node.leadership.known_term for sim in cluster.nodes.values()]
-    ended = [worker.name for worker in workers if worker.incarnation != sessions[worker.name]]
+    ended = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
     return cluster, (old, cluster.leaders()), steps, ended, max(terms)
 
 
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", range(310, 313))
 def test_a_leader_stays_when_few_workers_are_cut_off(seed):
-    """One machine of twelve is no reason to leave, however often it turns up at the others."""
+    """One machine of twelve is no reason to resign, however often it comes to the others."""
     cluster, (old, now), steps, _, term = virtual_time.run(lose_workers(seed, 1 / 12))
     assert now == [old] and term == 1
     assert steps.get("leading") is None
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -1,4 +1,4 @@
-"""Claims of docs/safety.md that a story shows best, each in the simulated cluster."""
+"""Claims of docs/safety.md that take a course of events to show, each in the simulated cluster."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 def leaders(cluster):
-    """Names of the nodes that lead firmly at this moment."""
+    """Names of the nodes that hold the leader lease at this moment."""
     return [name for name, sim in cluster.nodes.items() if sim.alive and sim.node.leadership.holds_lease()]
 
 
@@ -31,7 +31,7 @@
     return cluster, leaders(cluster)[0]
 
 
-def test_never_two_firm_leaders_and_late_writes_fail():
+def test_never_two_leaders_hold_the_lease_and_late_writes_fail():
     async def main():
         cluster, old = await settled(60)
         sim = cluster.nodes[old]
@@ -99,7 +99,7 @@
     assert "p/f/wk-000001" in left and not any(key.startswith(("p/j/", "p/c/")) for key in left)
 
 
-def test_a_node_whose_copy_hangs_gives_no_older_answer():
+def test_a_node_whose_replica_lags_gives_no_older_answer():
     async def main():
         cluster, old = await settled(64)
         behind = next(name for name in cluster.nodes if name != old)
@@ -115,7 +115,7 @@
 
 
 def test_a_machine_that_no_answer_reaches_is_freed_by_evidence_and_replaced():
-    """Its reports look healthy: only a token it can't have without an answer tells it from a sound one."""
+    """Its heartbeats look healthy: only a token it can't have without an answer tells it from a sound one."""
 
     async def main():
         cluster, _ = await settled(65, jobs=3)
@@ -134,7 +134,7 @@
 
 
 def test_a_new_machine_gets_nothing_before_it_shows_the_token():
-    """One that is deaf from its first report on, and late copies of reports of a machine that is gone."""
+    """One that no answer ever reached, and late copies of heartbeats of a machine that is deleted."""
 
     async def main():
         cluster, leader = await settled(66)
@@ -184,8 +184,8 @@
     )  # its workers found the new leader in time
 
 
-def test_a_leader_that_its_workers_no_longer_reach_makes_way():
-    """State service and peers see nothing wrong with it, and every task would end with its lease."""
+def test_a_leader_that_its_workers_no_longer_reach_resigns():
+    """Key-value store and peers see nothing wrong with it, and every task would end with its lease."""
 
     async def main():
         cluster, old = await settled(69, jobs=12, machines=24, cards=2.0)
@@ -200,13 +200,13 @@
         return cluster, old, starts, now, leaders(cluster), len(before), len(kept)
 
     cluster, old, starts, now, later, before, kept = virtual_time.run(main())
-    assert before >= 24 and kept > before - 5  # no crowd of machines is given up for one leader's trouble
+    assert before >= 24 and kept > before - 5  # no machines are given up together for one leader's trouble
     assert len(now) == 1 and now != [old] and later == now
     assert cluster.checker.starts <= starts + 6  # a few workers had been sent back to the old leader
     assert cluster.checker.broken == []
 
 
-def test_restarts_within_a_fraction_of_a_second_also_while_electing():
+def test_restarts_within_a_fraction_of_a_second_also_during_campaigns():
     async def main():
         cluster, _ = await settled(68, jobs=4)
         starts = cluster.checker.starts
@@ -215,12 +215,12 @@
         return cluster, starts, leaders(cluster)
 
     cluster, starts, now = virtual_time.run(main())
-    # one worker may happen on ended processes for a whole lease while nineteen terms pass in twelve seconds
+    # one worker may come upon ended processes for a whole lease while nineteen terms pass in twelve seconds
     assert len(now) == 1 and cluster.checker.starts <= starts + 2 and cluster.checker.broken == []
 
 
-def test_replicas_take_room_from_what_is_not_launched_yet_at_once():
-    """After a mass restart jobs come in no order; replicas waited for machines that had nothing to stop yet."""
+def test_replicas_preempt_attempts_that_are_not_launched_yet_at_once():
+    """After a mass restart jobs arrive in no order; replicas waited for machines that had nothing to stop yet."""
 
     async def main():
         cluster = SimulatedCluster(72, machines=2, zones=("a",), capacity=(0, 0))
@@ -237,11 +237,11 @@
 
     cluster, took = virtual_time.run(main())
     assert ("wk-000001", 0) not in cluster.checker.present and cluster.checker.broken == []
-    assert took < 4.0  # a report, the image, and no stop before it
+    assert took < 4.0  # a heartbeat, the image, and no stop before it
 
 
-async def stand_still(seed, for_s):
-    """A leader that stands still with reports and users' questions waiting in its sockets."""
+async def pause_the_leader(seed, for_s):
+    """A leader process is paused while heartbeats and users' questions wait in its sockets."""
     cluster, old = await settled(seed, jobs=6, machines=12, cards=2.0)
     before = {name for places in cluster.checker.present.values() for name, _ in places}
     starts = cluster.checker.starts
@@ -255,27 +255,27 @@
 
 
 @pytest.mark.parametrize("for_s", [3.0, 12.0, 25.0])
-def test_a_leader_that_stood_still_leads_no_longer_and_judges_nobody(for_s):
-    """Its clocks ran on: by them every machine was silent and every lease over when it woke."""
-    cluster, new, later, lost, started, answer, old = virtual_time.run(stand_still(75, for_s))
+def test_a_leader_that_was_paused_leads_no_longer_and_deletes_no_machine(for_s):
+    """Its clocks ran on: by them every machine was silent and every lease expired when it woke."""
+    cluster, new, later, lost, started, answer, old = virtual_time.run(pause_the_leader(75, for_s))
     assert len(later) == 1 and cluster.checker.broken == []
     assert for_s < 5.0 or (len(new) == 1 and new != [old])
     assert (lost, started) == (0, 0)
     assert answer.status in (200, 429, 503)
 
 
-def test_a_leader_that_trusts_its_lead_after_standing_still_is_seen_to_lose_machines(monkeypatch):
-    """The unsafe variant: it leads by what it remembers, and its own silence counts against the machines."""
+def test_a_leader_that_trusts_its_role_after_a_pause_is_seen_to_lose_machines(monkeypatch):
+    """The unsafe variant: it leads by what it remembers, and its own pause counts against the machines."""
     monkeypatch.setattr(Leadership, "holds_lease", lambda self: self.leading)
     monkeypatch.setattr(
         MachineInventory, "began", property(lambda self: 0.0, lambda self, value: None), raising=False
     )
-    lost = virtual_time.run(stand_still(75, 25.0))[3]
+    lost = virtual_time.run(pause_the_leader(75, 25.0))[3]
     assert lost > 0
 
 
-def test_a_crowd_that_is_cut_off_comes_back_and_is_not_rented_twice():
-    """Given up as their leases ended, cut machines were deleted just before they came back, warm, and rented anew."""
+def test_machines_cut_off_together_come_back_and_are_not_replaced_twice():
+    """Given up as their leases expired, cut machines were deleted just before they came back, warm, and replaced."""
 
     async def main():
         cluster = SimulatedCluster(76, machines=24, zones=("a",), limit=60.0, capacity=(24, 0))
@@ -302,8 +302,8 @@
     assert lost & with_replicas and up == 4  # but the replica's machine was given up, and it runs elsewhere
 
 
-def test_what_is_kept_for_answers_is_bounded():
-    """Final states by a part of the memory, names of deleted machines by a number: a long life doesn't grow them."""
+def test_caches_for_answers_are_bounded():
+    """Final states by a share of the memory, deleted machines by a number: a long-lived process doesn't grow them."""
     replica = Replica(None, finals_kept=50)
     for number in range(500):
         replica.note_final(f"wk-{number}", "done")
