--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -76,6 +76,7 @@
         self.intake = Intake(self.clock, self.grants, self.store, self.weights, rng)
         self.admitted = AdmittedJobs()
         self.demand = DemandTable(DEMAND_KEPT_SLOTS * self.clock.length_s)
+        self.dispatch: Dispatch | None = None  # of the latest term that this node led
         self._deciding: asyncio.Task[None] | None = None
         self._started_ms = int(time_of_day() * 1000)
         self._report: DemandReport | None = None
@@ -180,7 +181,8 @@
             self.report,
             term.commit_queue.delay,
         )
-        term.on_evaluated = dispatch.evaluated
+        term.evaluation_loop.subscribe(dispatch.evaluated)
+        self.dispatch = dispatch
         self._deciding = asyncio.ensure_future(self._decide(term, allocator))
 
     def _concluded(self, decision: Decision) -> None:
--- /dev/null
+++ b/src/passrock/controller/background_tasks.py
@@ -0,0 +1,68 @@
+"""The background tasks of a controller process, and their supervision."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Awaitable, Callable, Iterable
+
+from passrock.controller import keys
+from passrock.core.scaling import MachineCatalog
+from passrock.io.clock import monotonic_time
+from passrock.io.cloud import CloudClient, CloudError
+from passrock.io.state import StateClient, StateError
+from passrock.logs import debug, error
+from passrock.settings import Settings
+
+MACHINE_TYPES_RETRY_S = 1.0
+
+BackgroundTask = Callable[[], Awaitable[None]]
+
+
+async def run_supervised(tasks: Iterable[BackgroundTask], restart_delay_s: float) -> None:
+    """Run tasks side by side until they return; one that fails is started again."""
+    async with asyncio.TaskGroup() as group:
+        for task in tasks:
+            group.create_task(_restart_on_failure(task, restart_delay_s))
+
+
+async def _restart_on_failure(task: BackgroundTask, restart_delay_s: float) -> None:
+    """Log an unforeseen error and start again: a malformed answer from outside must never end the process."""
+    while True:
+        try:
+            await task()
+            return
+        except Exception as problem:
+            error("background_task_failed", error=repr(problem))
+            await asyncio.sleep(restart_delay_s)
+
+
+async def load_machine_types(settings: Settings, cloud: CloudClient, catalog: MachineCatalog, sockets: int) -> None:
+    """Ask the cloud until it tells its machine types: nothing can be decided without them."""
+    while not catalog.types:
+        try:
+            catalog.types = await cloud.machine_types()
+        except CloudError as problem:
+            debug("machine_types_unavailable", error=problem)
+            await asyncio.sleep(MACHINE_TYPES_RETRY_S)
+    _check_socket_limit(settings, catalog, sockets)
+
+
+def _check_socket_limit(settings: Settings, catalog: MachineCatalog, sockets: int) -> None:
+    """Say once in the log when the sockets are too few for the machines that the guarantees need."""
+    largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
+    guaranteed = sum(team.gpus for team in settings.teams.values())
+    if largest > 0 and guaranteed / largest > sockets:
+        machines = math.ceil(guaranteed / largest)
+        error("socket_limit_below_quota", sockets=sockets, machines_guaranteed=machines)
+
+
+async def probe_store(state: StateClient, interval_s: float) -> None:
+    """Know whether the key-value store answers, also when nobody asks for anything."""
+    while True:
+        await asyncio.sleep(interval_s)
+        if monotonic_time() - state.last_good > interval_s:
+            try:
+                await state.get(keys.NOWHERE, timeout=interval_s)
+            except StateError:
+                continue
--- /dev/null
+++ b/src/passrock/controller/evaluation_loop.py
@@ -0,0 +1,144 @@
+"""The leader's evaluation of all jobs and machines: failure detection, scheduling, preemption, scaling, binding."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from passrock.controller.autoscaler import Autoscaler
+from passrock.controller.binding_rounds import BindingRounds
+from passrock.controller.commit_queue import CommitQueue
+from passrock.controller.evaluations import Evaluations
+from passrock.controller.failure_detector import FailureDetector
+from passrock.controller.leadership import Leadership
+from passrock.core.inventory import MachineInventory
+from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.model import Priority
+from passrock.core.preemption import Preemption, stop_softly
+from passrock.core.scheduler import Scheduler
+from passrock.io.clock import monotonic_time
+from passrock.logs import info
+from passrock.settings import Settings
+
+PAUSE_FACTOR = 2.0  # times the time an evaluation took, until the next one
+MINIMUM_PAUSES = 20  # in a heartbeat interval: the shortest pause between two evaluations
+IDLE_EVALUATIONS = 4  # in a heartbeat interval when nothing requests one
+PLAN_INTERVAL = 0.4  # heartbeat intervals between two plans of preemption and scaling
+
+EvaluationObserver = Callable[[Scheduler, list[TaskAttempt], float], None]
+
+
+class EvaluationLoop:
+    """Evaluates on request and at intervals; plans, which cost more, are made less often."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        leadership: Leadership,
+        job_table: JobTable,
+        inventory: MachineInventory,
+        scheduler: Scheduler,
+        preemption: Preemption,
+        failure_detector: FailureDetector,
+        autoscaler: Autoscaler,
+        rounds: BindingRounds,
+        commit_queue: CommitQueue,
+        evaluations: Evaluations,
+    ) -> None:
+        self.settings = settings
+        self.leadership = leadership
+        self.job_table = job_table
+        self.inventory = inventory
+        self.scheduler = scheduler
+        self.preemption = preemption
+        self.failure_detector = failure_detector
+        self.autoscaler = autoscaler
+        self.rounds = rounds
+        self.commit_queue = commit_queue
+        self.evaluations = evaluations
+        self._observers: list[EvaluationObserver] = []
+        self._last_evaluation = monotonic_time()
+        self._plan_due = 0.0
+
+    def subscribe(self, observer: EvaluationObserver) -> None:
+        """Call ``observer`` after each scheduling pass with the scheduler, the new attempts and the time."""
+        self._observers.append(observer)
+
+    def plan_now(self) -> None:
+        """Make the next evaluation plan preemption and scaling too."""
+        self._plan_due = 0.0
+
+    async def run(self) -> None:
+        """Evaluate until cancelled.
+
+        An evaluation takes longer the more there is: it may have a part of the processor, never all of it.
+        """
+        heartbeat_interval = self.settings.report_s
+        while True:
+            await self.evaluations.requested(heartbeat_interval / IDLE_EVALUATIONS)
+            began = monotonic_time()
+            self.evaluate()
+            pause = (monotonic_time() - began) * PAUSE_FACTOR
+            await asyncio.sleep(max(heartbeat_interval / MINIMUM_PAUSES, pause))
+
+    def evaluate(self) -> None:
+        """One evaluation; without the leader's lease, only what must go on through an outage of the store."""
+        now = monotonic_time()
+        self._notice_own_pause(now)
+        if not self.leadership.holds_lease():
+            if self.leadership.may_renew():
+                self.failure_detector.clear_cancelled(now)  # the time for these runs on through an outage
+            return
+        self.leadership.check_fence()
+        planning = now >= self._plan_due
+        if planning:
+            self._plan_due = now + self.settings.report_s * PLAN_INTERVAL
+            self.failure_detector.evaluate(now)
+        self._schedule(now)
+        if planning:
+            self._preempt(self.scheduler.waiting, now)
+            self.autoscaler.adjust(self.scheduler.waiting, now)
+        self.rounds.run_if_due(now)
+        if self.job_table.uncommitted or self.job_table.finalizing:
+            self.commit_queue.wake.set()
+        self.evaluations.finished()
+
+    def _notice_own_pause(self, now: float) -> None:
+        """If this process stood still, missing heartbeats in that time prove nothing."""
+        if now - self._last_evaluation > self.settings.report_s:
+            self.inventory.began = now
+        self._last_evaluation = now
+
+    def _schedule(self, now: float) -> None:
+        placed = self.scheduler.run(now)
+        for attempt in placed:
+            info(
+                "task_placed",
+                job=attempt.job.spec.id,
+                task=attempt.index,
+                attempt=attempt.number,
+                machine=attempt.machine,
+            )
+        for observer in self._observers:
+            observer(self.scheduler, placed, now)
+        if self.scheduler.cut_short:
+            self.evaluations.request()
+
+    def _preempt(self, queue: list[Job], now: float) -> None:
+        """Stop work for the waiting jobs whose standing allows it."""
+        for job in queue:
+            if not self.preemption.displaces(job):
+                continue
+            early = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
+            for victim in self.preemption.make_room(job, now, early):
+                self._stop(victim, job, now)
+
+    def _stop(self, victim: TaskAttempt, job: Job, now: float) -> None:
+        info("task_preempted", job=victim.job.spec.id, task=victim.index, machine=victim.machine, by=job.spec.id)
+        stop_softly(victim, self.settings.gang_peer_s)
+        if self.job_table.is_unlaunched(victim):  # no answer has carried its launch: the capacity is free at once
+            self.job_table.attempt_lost(victim, now)
+            self.evaluations.request()
+        machine = self.inventory.machines.get(victim.machine)
+        if machine is not None:
+            self.job_table.recompute_usage(machine, now)
--- /dev/null
+++ b/src/passrock/controller/health.py
@@ -0,0 +1,43 @@
+"""Whether the load balancer should send users to this controller."""
+
+from __future__ import annotations
+
+from passrock.controller.replica import Replica
+from passrock.core.scaling import MachineCatalog
+from passrock.io.clock import monotonic_time
+from passrock.io.peers import Peers
+from passrock.io.state import StateClient
+from passrock.settings import Settings
+
+STORE_DOWN_AFTER_S = 1.5  # without an answer of the store
+PEER_ANSWER_AGE_S = 3.0  # a peer's answer to an older question doesn't count
+
+
+class HealthCheck:
+    """Judges this controller by its replica, its view of the key-value store, and its peers' views."""
+
+    def __init__(
+        self, settings: Settings, state: StateClient, replica: Replica, catalog: MachineCatalog, peers: Peers
+    ) -> None:
+        self.settings = settings
+        self.state = state
+        self.replica = replica
+        self.catalog = catalog
+        self.peers = peers
+
+    def is_healthy(self) -> bool:
+        """Whether users should come here.
+
+        Not when only this controller is refused by the store, nor when it sees the store down and no majority
+        of controllers says the same: then it is this controller that is cut off. In an outage that all see, no
+        controller is better than another, and those marked unhealthy would be slow to come back.
+        """
+        if not self.replica.loaded or not self.catalog.types:
+            return False
+        now = monotonic_time()
+        if not self.state.down(now, STORE_DOWN_AFTER_S):
+            return True
+        answers = self.peers.answers(now - PEER_ANSWER_AGE_S)
+        if any(not heartbeat.state_down for heartbeat, _ in answers):
+            return False
+        return (len(answers) + 1) * 2 > self.settings.nodes
--- /dev/null
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -0,0 +1,71 @@
+"""Who may answer a worker's heartbeat: the leader, or during an outage whoever may renew leases; others redirect."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+from passrock.controller.leader_term import LeaderTerm
+from passrock.controller.leadership import Leadership
+from passrock.core.cancellations import Cancellations
+from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
+from passrock.io.http_server import Request, Response
+from passrock.wire import users as user_wire
+from passrock.wire import workers as worker_wire
+from passrock.wire.cbor import MalformedBodyError
+
+
+class HeartbeatEndpoint:
+    """Answers workers' heartbeats with the fencing token under which this controller may act."""
+
+    def __init__(
+        self,
+        leadership: Leadership,
+        cancellations: Cancellations,
+        current_term: Callable[[], LeaderTerm | None],
+    ) -> None:
+        self.leadership = leadership
+        self.cancellations = cancellations
+        self.current_term = current_term
+
+    def handle(self, request: Request) -> Response | Awaitable[Response]:
+        """200 with commands, 421 with the controller to go to, or 503; 400 for a malformed body."""
+        try:
+            heartbeat = worker_wire.parse_heartbeat(request.body)
+        except MalformedBodyError as problem:
+            return Response(400, user_wire.error_answer(str(problem)))
+        leadership = self.leadership
+        leadership.observe_term(heartbeat.token)
+        if not leadership.may_renew():
+            return self._answer_as_follower(heartbeat)
+        leader_term = self.current_term()
+        if leader_term is None or not leader_term.ready:
+            return Response(200, worker_wire.answer(leadership.term, self._stop_cancelled(heartbeat)))
+        commands = leader_term.heartbeat_handler.handle(heartbeat)
+        if commands is None:
+            return Response(503)
+        if isinstance(commands, list):
+            return Response(200, worker_wire.answer(leadership.term, commands))
+        return self._answer_later(commands, leadership.term)
+
+    def _answer_as_follower(self, heartbeat: WorkerHeartbeat) -> Response:
+        if self.leadership.may_renew_leaderless(heartbeat.token):
+            return Response(200, worker_wire.answer(heartbeat.token, self._stop_cancelled(heartbeat)))
+        node = self.leadership.redirect(heartbeat.machine, heartbeat.token)
+        return Response(421, worker_wire.redirect(node))
+
+    def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
+        """What a controller without a job table can and must command: tasks of cancelled jobs end."""
+        return [
+            Command(Op.STOP, task.job, task.index, task.attempt_number)
+            for task in heartbeat.tasks
+            if task.job in self.cancellations and task.state is not TaskState.EXITED
+        ]
+
+    async def _answer_later(self, work: Awaitable[list[Command] | None], term: int) -> Response:
+        """Answer once the launches are committed, if this controller may still act under the same term."""
+        commands = await work
+        if commands is None:
+            return Response(503)
+        if not self.leadership.may_renew() or self.leadership.term != term:
+            return Response(421, worker_wire.redirect(None))
+        return Response(200, worker_wire.answer(term, commands))
--- /dev/null
+++ b/src/passrock/controller/job_lookup.py
@@ -0,0 +1,113 @@
+"""The state of one job as a user may be told of it: never older than the question."""
+
+from __future__ import annotations
+
+import math
+
+import msgspec
+
+from passrock.controller import keys
+from passrock.controller.replica import ReadFence, Replica
+from passrock.core.cancellations import Cancellations
+from passrock.core.records import CANCELLED, DONE, tasks_per_page
+from passrock.io.clock import monotonic_time
+from passrock.io.state import StateClient
+from passrock.settings import Settings
+
+FENCE_TRIES = 3
+DIRECT_READ_TIMEOUT_S = 0.8
+
+
+class UnavailableError(Exception):
+    """The state of a job can't be told now; the user comes again."""
+
+
+class JobStatus(msgspec.Struct, frozen=True):
+    """What a user may be told of a job; ``done`` and ``running`` count its tasks."""
+
+    status: str
+    done: int = 0
+    running: int = 0
+
+
+class JobLookup:
+    """Linearizable reads of jobs: from the replica behind a read fence, or else from the store itself."""
+
+    def __init__(
+        self, settings: Settings, state: StateClient, replica: Replica, cancellations: Cancellations
+    ) -> None:
+        self.state = state
+        self.replica = replica
+        self.cancellations = cancellations
+        self.page_size = tasks_per_page(settings.value_bytes)
+        self.fence = ReadFence(state, replica, 1.0 / settings.state_rps)
+
+    def is_known(self, job_id: str) -> bool:
+        """Whether the replica shows that the job was accepted once."""
+        return job_id in self.replica.finals or self.replica.get(keys.job(job_id)) is not None
+
+    async def find(self, job_id: str) -> JobStatus | None:
+        """The job's state, not older than this call; None when there is no such job.
+
+        Raises:
+            UnavailableError: the store is down, so that nothing can be proved.
+            StateError: a read of the store failed.
+        """
+        final = self._cached_final(job_id)
+        if final is not None:
+            return final
+        unfinished = await self._find_unfinished(job_id)
+        if unfinished is not None:
+            return unfinished
+        return self._cached_final(job_id) or await self._read_final(job_id)
+
+    async def _find_unfinished(self, job_id: str) -> JobStatus | None:
+        """The state of a job that has not ended, from the replica if it can be proved current."""
+        for _ in range(FENCE_TRIES):
+            if await self.fence.passed():
+                return self._from_replica(job_id)
+            if self.state.down(monotonic_time(), 0.0):
+                raise UnavailableError("the state service is down")
+        return await self._read_unfinished(job_id)
+
+    def _cached_final(self, job_id: str) -> JobStatus | None:
+        status = self.replica.finals.get(job_id)
+        return JobStatus(status) if status is not None else None
+
+    def _from_replica(self, job_id: str) -> JobStatus | None:
+        entry = self.replica.get(keys.job(job_id))
+        if entry is None:
+            return None
+        if self.replica.get(keys.cancel(job_id)) is not None:
+            return JobStatus(CANCELLED)
+        value = entry.value
+        done, running = int(value["d"], 16).bit_count(), len(value["l"])
+        for number in range(1, math.ceil(value["s"]["n"] / self.page_size)):
+            page = self.replica.get(keys.task_page(job_id, number))
+            if page is not None:
+                done += int(page.value["d"], 16).bit_count()
+                running += len(page.value["l"])
+        return JobStatus("running" if running else "queued", done, running)
+
+    async def _read_unfinished(self, job_id: str) -> JobStatus | None:
+        """Read the store itself, since the replica lags: whether the job is cancelled has to be read as well."""
+        entry, _ = await self.state.get(keys.job(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        if entry is None:
+            return None
+        cancellation, _ = await self.state.get(keys.cancel(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        if cancellation is not None:
+            self.cancellations.learn(job_id, monotonic_time())
+            return JobStatus(CANCELLED)
+        # the job may have ended between the two reads, which deletes its cancellation
+        final, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        if final is not None:
+            return None
+        return JobStatus("queued", int(entry.value["d"], 16).bit_count(), len(entry.value["l"]))
+
+    async def _read_final(self, job_id: str) -> JobStatus | None:
+        entry, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        if entry is None:
+            return None
+        status = entry.value["s"]
+        self.replica.note_final(job_id, status)
+        return JobStatus(status, entry.value["n"] if status == DONE else 0)
--- /dev/null
+++ b/src/passrock/controller/process.py
@@ -0,0 +1,71 @@
+"""A controller as a process: real clients, listening sockets, and settings of the interpreter."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import random
+
+from passrock import __version__
+from passrock.controller.node import STATE_CONNECTIONS, Node
+from passrock.core.budget import Budget
+from passrock.io.cloud import CloudClient
+from passrock.io.http_client import HttpClient
+from passrock.io.http_server import HttpServer
+from passrock.io.peers import PeerLink
+from passrock.io.state import StateClient
+from passrock.logs import info, start_logging
+from passrock.settings import Settings, warnings
+
+WATCH_CONNECTIONS = 2
+CLOUD_CONNECTIONS = 4
+CLOUD_RATE_SHARE = 0.8  # the part of the cloud's rate that this controller uses
+IDLE_TIMEOUT_S = 60.0  # of a client's connection
+HEAD_TIMEOUT = 4.0  # heartbeat intervals in which a whole request has to arrive
+GC_THRESHOLDS = (20_000, 20, 50)  # rarer than by default
+
+
+def build_node(settings: Settings, rng: random.Random) -> Node:
+    """A node with real clients."""
+    state = StateClient(
+        HttpClient(settings.state, STATE_CONNECTIONS),
+        HttpClient(settings.state, WATCH_CONNECTIONS),
+        Budget(settings.state_rps, settings.state_rps),
+        Budget(settings.state_write_rps, settings.state_write_rps),
+    )
+    cloud = CloudClient(
+        HttpClient(settings.cloud, CLOUD_CONNECTIONS),
+        Budget(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
+    )
+    return Node(settings, state, cloud, [PeerLink(peer) for peer in settings.peers], rng)
+
+
+async def run_node(node: Node) -> None:
+    """Listen and work until cancelled."""
+    settings = node.settings
+    server = HttpServer(node.handle, node.sockets, IDLE_TIMEOUT_S, settings.report_s * HEAD_TIMEOUT)
+    listening = await server.start(settings.client_listen.host, settings.client_listen.port)
+    peer_listening = await node.peers.listen(settings.peer_listen)
+    for warning in warnings(settings):
+        info("settings_warning", warning=warning)
+    info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
+    _tune_garbage_collection()
+    async with listening, peer_listening:
+        await node.work()
+
+
+def serve(settings: Settings) -> None:
+    """Run a controller until it is killed."""
+    start_logging(settings.node)
+
+    async def main() -> None:
+        await run_node(build_node(settings, random.Random()))
+
+    asyncio.run(main())
+
+
+def _tune_garbage_collection() -> None:
+    """Leave what the start has made out of all later collections."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
--- /dev/null
+++ b/src/passrock/controller/state_events.py
@@ -0,0 +1,91 @@
+"""What becomes known while a term lasts: new jobs and cancellations from the state, lost machines from the cloud."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from passrock.controller import keys
+from passrock.controller.binding_rounds import BindingRounds
+from passrock.controller.commit_queue import CommitQueue
+from passrock.controller.evaluations import Evaluations
+from passrock.controller.record_loader import confirmed_at
+from passrock.core.cancellations import Cancellations
+from passrock.core.jobs import JobTable
+from passrock.core.model import Priority
+from passrock.io.clock import monotonic_time, time_of_day
+from passrock.logs import info
+from passrock.wire.state import Entry
+
+
+class StateEvents:
+    """Takes events into the leader's tables and wakes whoever acts on them."""
+
+    def __init__(
+        self,
+        cancellations: Cancellations,
+        job_table: JobTable,
+        assignments: dict[str, str],
+        rounds: BindingRounds,
+        commit_queue: CommitQueue,
+        evaluations: Evaluations,
+        plan_now: Callable[[], None],
+    ) -> None:
+        """``plan_now`` brings the next plan of preemption and scale-out forward."""
+        self.cancellations = cancellations
+        self.job_table = job_table
+        self.assignments = assignments
+        self.rounds = rounds
+        self.commit_queue = commit_queue
+        self.evaluations = evaluations
+        self.plan_now = plan_now
+
+    def on_change(self, key: str, entry: Entry | None) -> None:
+        """The replica shows a changed key; ``entry`` is None when it was deleted."""
+        if key.startswith(keys.JOB):
+            self._job_changed(key[len(keys.JOB) :], entry)
+        elif key.startswith(keys.CANCEL) and entry is not None:
+            self.cancelled(key[len(keys.CANCEL) :], confirmed_at(entry))
+
+    def _job_changed(self, job_id: str, entry: Entry | None) -> None:
+        if entry is None:
+            self.commit_queue.removed.discard(job_id)
+        elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.removed:
+            self._load_job(job_id, entry)
+
+    def _load_job(self, job_id: str, entry: Entry) -> None:
+        job = self.job_table.load(entry.value, entry.mod_revision, monotonic_time(), time_of_day())
+        self.rounds.bring_forward()
+        if job.spec.priority is Priority.PRODUCTION:
+            self.plan_now()  # it preempts at once, best before the work that it preempts is launched
+        info(
+            "job_loaded",
+            job=job_id,
+            job_class=job.spec.job_class,
+            kind=job.spec.kind,
+            tasks=job.spec.tasks,
+            image=job.spec.image,
+        )
+        self.evaluations.request()
+        learned_at = self.cancellations.when(job_id)
+        if learned_at is not None:
+            self.cancelled(job_id, learned_at)
+
+    def cancelled(self, job_id: str, at: float) -> None:
+        """A cancellation was committed at ``at`` (monotonic) or later, as the replica or a peer says."""
+        job = self.job_table.jobs.get(job_id)
+        if job is None:
+            return
+        if not job.cancelled:
+            info("job_cancelled", job=job_id)
+        self.job_table.cancel(job, at)
+        self.commit_queue.wake.set()
+        self.evaluations.request()
+
+    def machine_lost(self, name: str) -> None:
+        """The cloud has confirmed that a machine is deleted."""
+        lost = self.job_table.machine_lost(name, monotonic_time())
+        self.assignments.pop(name, None)
+        self.rounds.bring_forward()
+        info("machine_lost", machine=name, tasks=lost)
+        self.commit_queue.wake.set()
+        self.evaluations.request()
--- a/src/passrock/serving.py
+++ b/src/passrock/serving.py
@@ -18,7 +18,7 @@
     except SettingsError as error:
         print(f"passrock: {path}: {error}", file=sys.stderr)
         return EXIT_FAULTY_SETTINGS
-    from passrock.controller.node import serve
+    from passrock.controller.process import serve
 
     try:
         serve(settings)
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -698,7 +698,7 @@
 def test_golden_records_of_a_job_answer_a_query(fixture, records, wall_clock):
     async def main():
         node = a_node(RecordingHttp())
-        node.user_api.page_size = 4
+        node.user_api.lookup.page_size = 4
         node.replica.entries.update({entry.key: entry for entry in golden_entries(*records)})
         return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
 
--- a/tools/measure_leader_cpu.py
+++ b/tools/measure_leader_cpu.py
@@ -22,10 +22,10 @@
 from passrock.admission.settings import AdmissionSettings  # noqa: E402
 from passrock.controller.autoscaler import Autoscaler  # noqa: E402
 from passrock.controller.binding_rounds import BindingRounds  # noqa: E402
+from passrock.controller.evaluation_loop import EvaluationLoop  # noqa: E402
 from passrock.controller.failure_detector import FailureDetector  # noqa: E402
+from passrock.controller.heartbeat_endpoint import HeartbeatEndpoint  # noqa: E402
 from passrock.controller.heartbeat_handler import HeartbeatHandler  # noqa: E402
-from passrock.controller.leader_term import LeaderTerm  # noqa: E402
-from passrock.controller.node import Node  # noqa: E402
 from passrock.core.scheduler import Scheduler  # noqa: E402
 from standins import virtual_time  # noqa: E402
 from standins.simulated_cluster import SimulatedCluster  # noqa: E402
@@ -121,12 +121,12 @@
         ):
             timed(owner, name)
     if options.profile:
-        for owner, name in ((Node, "_checkin"), (LeaderTerm, "evaluate")):
+        for owner, name in ((HeartbeatEndpoint, "handle"), (EvaluationLoop, "evaluate")):
             profiled(owner, name)
     for owner, names in (
-        (Node, ("_checkin",)),
+        (HeartbeatEndpoint, ("handle",)),
         (HeartbeatHandler, ("handle",)),
-        (LeaderTerm, ("evaluate", "_preempt")),
+        (EvaluationLoop, ("evaluate", "_preempt")),
         (Autoscaler, ("adjust",)),
         (BindingRounds, ("_run",)),
         (Scheduler, ("run",)),
