--- a/tests/standins/loopback_cluster.py
+++ b/tests/standins/loopback_cluster.py
@@ -73,12 +73,12 @@
 
         return handle
 
-    async def start(self, name="n0"):
-        """Start a controller process."""
+    async def start(self, name="n0", checkout=ROOT):
+        """Start a controller process from the sources of a checkout."""
         operator = [word for path in self.operator for word in ("--operator", str(path))]
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
-            str(ROOT / "run.py"),
+            str(checkout / "run.py"),
             *operator,
             "--config",
             str(self.configs[name]),
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -100,7 +100,7 @@
         leader = cluster.nodes[await cluster.a_leader()].node
         outcomes = leader.admission._deciding is not None
         waits = {wait.flow.job_class: wait for wait in leader.admission.dispatch.waits}
-        return outcomes, waits["kept"].obstacle.value, leader.term.scheduler.favoured
+        return outcomes, waits["kept"].obstacle.value, leader.leader_term.scheduler.favoured
 
     outcomes, found, favoured = virtual_time.run(main())
     assert outcomes and found == obstacle
