--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -178,7 +178,7 @@
             self.store,
             outcomes,
             self.report,
-            term.commit_queue.delay,
+            term.commit_queue.estimated_delay_s,
         )
         term.on_evaluated = dispatch.evaluated
         self._deciding = asyncio.ensure_future(self._decide(term, allocator))
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -7,7 +7,7 @@
 
 from passrock.admission.core.flows import Flow
 from passrock.admission.core.starvation import FlowWait, Obstacle, StartWatch, WaitingJob
-from passrock.core.jobs import Job, TaskAttempt
+from passrock.core.job import Job, TaskAttempt
 from passrock.core.model import JobKind
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import time_of_day
@@ -89,12 +89,12 @@
 
     def _waiting(self, scheduler: Scheduler, now: float) -> Iterable[WaitingJob]:
         for job in scheduler.job_table.jobs.values():
-            if job.waiting > 0 and not job.cancelled and job.final is None:
-                yield WaitingJob(job.spec.id, flow_of(job), job.submitted, self._obstacle(scheduler, job, now))
+            if job.waiting > 0 and not job.cancelled and job.final_status is None:
+                yield WaitingJob(job.spec.id, flow_of(job), job.submitted_at, self._obstacle(scheduler, job, now))
 
     def _obstacle(self, scheduler: Scheduler, job: Job, now: float) -> Obstacle:
         spec = job.spec
-        if job.not_before > now or job.is_suspect:
+        if job.retry_not_before > now or job.is_suspect:
             return Obstacle.FAILING
         if not scheduler.allowed_now(job, spec.tasks if spec.kind is JobKind.GANG else 1):
             return Obstacle.TEAM_LIMIT
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -6,7 +6,8 @@
 
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable
+from passrock.core.job import Job
+from passrock.core.job_table import JobTable
 from passrock.core.model import JobKind, Priority
 from passrock.core.preemption import Preemption
 from passrock.core.reservation import zone_gap
@@ -88,7 +89,7 @@
                 continue
             mine = sum(
                 attempt.job.spec.resources.gpus
-                for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values()
+                for attempt in self.job_table.attempts_on(machine.name)
                 if attempt.job.spec.priority is Priority.PRODUCTION
             )
             production[machine.zone] += mine * self.settings.operator.buffer_share
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -9,7 +9,7 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.messages import TaskState
 from passrock.core.reservation import Binding, Claim, Unit, bind, pages
 from passrock.core.scaling import MachineCatalog
@@ -102,7 +102,7 @@
         """Where the machines' GPUs are, for the log."""
         sums = dict.fromkeys(("booting", "idle", "placed", "running", "stranded"), 0.0)
         for machine in self.inventory.machines.values():
-            attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+            attempts = self.job_table.attempts_on(machine.name)
             placed = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.up:
                 sums["booting"] += machine.type.size.gpus
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -1,14 +1,30 @@
-"""The leader's queue of changed job records, committed one transaction at a time."""
+"""The leader's queue of changed job records, committed one transaction at a time.
+
+Concurrency is optimistic: a transaction is a compare-and-swap on the versions that this node knows, and on the
+leader's key, so that a deposed leader writes nothing. After a conflict or an unknown outcome the versions are read
+again, and what is uncommitted is written anew.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+
+import msgspec
 
 from passrock.controller import keys
-from passrock.core.jobs import Job, JobTable, TaskPage
-from passrock.core.records import ATTEMPT_BYTES, CANCELLED, DONE, encode_spec
+from passrock.core.job import Job, TaskPage
+from passrock.core.job_table import JobTable
+from passrock.core.records import (
+    ATTEMPT_BYTES,
+    CANCELLED,
+    DONE,
+    CancellationRecord,
+    FinalRecord,
+    JobRecord,
+    decode_record,
+    encode_record,
+)
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import debug, info
@@ -16,26 +32,81 @@
 
 RETRY_S = 0.2
 RECORD_BYTES = 700  # a record beside its attempts
-BATCH_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
+TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
 SHORTEST_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
-FINAL_WRITES = 3  # changes that end a job: its record and its cancellation go, its final record comes
-SUBMISSION_SHARE = 0.2  # of a second's changes, left for submissions and cancellations on this node,
-SUBMISSIONS_LEAST = 2.0  # and so many at the least
+WRITES_PER_FINALIZATION = 3  # a job's record and its cancellation are deleted, its final record is put
+SUBMISSION_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node,
+SUBMISSION_WRITES = 2.0  # and so many at the least
 
 
-class Batch:
-    """One transaction and what it will have committed."""
+class PageWrite(msgspec.Struct, frozen=True):
+    """A page in a transaction, with the version of it that the transaction writes."""
 
-    def __init__(self, leader_revision: int) -> None:
-        self.conditions: dict[str, int] = {keys.LEADER: leader_revision}
-        self.writes: list[Write] = []
-        self.pages: list[tuple[Job, int, TaskPage, int]] = []
-        self.finals: list[tuple[Job, str]] = []
-        self.orphaned_keys: list[str] = []
+    job: Job
+    number: int
+    page: TaskPage
+    version: int
+
+
+class Finalization(msgspec.Struct, frozen=True):
+    """A job that a transaction ends, with its final status."""
+
+    job: Job
+    status: str
+
+
+class Transaction(msgspec.Struct):
+    """Conditions and writes of one transaction, and what it will have committed.
+
+    Attributes:
+        conditions: the modification revision that each key has to have; 0 for none.
+        orphaned_keys: records that it deletes since their job has ended.
+    """
+
+    conditions: dict[str, int]
+    writes: list[Write] = msgspec.field(default_factory=list)
+    page_writes: list[PageWrite] = msgspec.field(default_factory=list)
+    finalizations: list[Finalization] = msgspec.field(default_factory=list)
+    orphaned_keys: list[str] = msgspec.field(default_factory=list)
+
+    def add_page(self, job: Job, number: int) -> None:
+        """Write one page of a job's tasks."""
+        page = job.pages[number]
+        page_record = page.to_record()
+        record = JobRecord.of(job.spec, job.submitted_at, page_record) if number == 0 else page_record
+        key = keys.task_page(job.spec.id, number)
+        self.conditions[key] = page.mod_revision
+        self.writes.append(Put(key, encode_record(record)))
+        self.page_writes.append(PageWrite(job, number, page, page.version))
+
+    def add_finalization(self, job: Job) -> None:
+        """Replace a job's record by its final one; a job counts as done only if no cancellation was committed."""
+        job_id = job.spec.id
+        status = CANCELLED if job.cancelled else DONE
+        self.conditions[keys.job(job_id)] = job.page(0).mod_revision
+        self.conditions[keys.final(job_id)] = 0
+        final = FinalRecord(status, job.spec.tasks)
+        self.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), encode_record(final))]
+        if job.cancelled:
+            self.writes.append(Delete(keys.cancel(job_id)))
+        else:
+            self.conditions[keys.cancel(job_id)] = 0
+        self.finalizations.append(Finalization(job, status))
+
+    def add_orphan_deletion(self, key: str) -> None:
+        """Delete a record that a finished job left behind; it needs no condition, since its key isn't used again."""
+        self.writes.append(Delete(key))
+        self.orphaned_keys.append(key)
 
 
 class CommitQueue:
-    """Writes the changed records, under the condition that this node still leads."""
+    """Writes the changed records, under the condition that this node still leads.
+
+    Attributes:
+        orphaned_keys: records of finished jobs that have to be deleted.
+        finalized: ids of jobs that this term has ended, as long as the replica may still show them unfinished.
+        wake: set when there may be something to commit.
+    """
 
     def __init__(
         self,
@@ -43,28 +114,30 @@
         job_table: JobTable,
         leader_revision: int,
         txn_ops: int,
-        on_final: Callable[[str, str], None],
-        on_commit: Callable[[], None],
-        on_lost: Callable[[], None],
+        on_finalized: Callable[[str, str], None],
+        on_committed: Callable[[], None],
+        on_leadership_lost: Callable[[], None],
     ) -> None:
-        """``on_final`` gets a job's id and how it ended; ``on_lost`` is called when this node leads no longer."""
+        """``txn_ops`` limits the writes of a transaction; ``on_finalized`` gets a job's id and its final status."""
         self.state = state
         self.job_table = job_table
         self.leader_revision = leader_revision
         self.txn_ops = txn_ops
         self.orphaned_keys: list[str] = []
-        self.removed: set[str] = set()
+        self.finalized: set[str] = set()
         self.wake = asyncio.Event()
-        self.on_final = on_final
-        self.on_commit = on_commit
-        self.on_lost = on_lost
-
-    def delay(self) -> float:
-        """Seconds that the changes which wait now take at this node's rate."""
-        changes = (
-            len(self.job_table.uncommitted) + FINAL_WRITES * len(self.job_table.finalizing) + len(self.orphaned_keys)
+        self.on_finalized = on_finalized
+        self.on_committed = on_committed
+        self.on_leadership_lost = on_leadership_lost
+
+    def estimated_delay_s(self) -> float:
+        """Seconds that the writes which wait now take at this node's rate."""
+        writes = (
+            len(self.job_table.uncommitted)
+            + WRITES_PER_FINALIZATION * len(self.job_table.finalizing)
+            + len(self.orphaned_keys)
         )
-        return changes / self.state.writes.rate
+        return writes / self.state.writes.rate
 
     async def run(self) -> None:
         """Commit for ever."""
@@ -72,21 +145,21 @@
             await self.wake.wait()
             self.wake.clear()
             while self.job_table.uncommitted or self.job_table.finalizing or self.orphaned_keys:
-                batch = self.build(await self._writes_left())
-                if not batch.writes:
+                transaction = self.build(await self._writes_left())
+                if not transaction.writes:
                     break
-                if not await self.commit(batch):
+                if not await self.commit(transaction):
                     await asyncio.sleep(RETRY_S)
 
     async def _writes_left(self) -> int:
-        """How many changes the next transaction may make, so that submissions find a part of the rate left.
+        """How many writes the next transaction may have, so that submissions find a part of the rate left.
 
         A transaction of full size spent the rate for a second ahead, and what users sent meanwhile waited as
         long. After a second without enough left, it takes its turn behind them.
         """
         budget = self.state.writes
-        least = FINAL_WRITES if self.job_table.finalizing else 1
-        reserve = min(max(SUBMISSIONS_LEAST, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
+        least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
+        reserve = min(max(SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
         while (left := budget.left(monotonic_time()) - reserve) < least:
             now = monotonic_time()
@@ -95,105 +168,107 @@
             await asyncio.sleep(max(SHORTEST_SLEEP_S, min((least - left) / budget.rate, turn - now)))
         return min(self.txn_ops, int(left))
 
-    def build(self, most: int) -> Batch:
-        """The next transaction of up to ``most`` changes, inside the limit on its size."""
-        batch = Batch(self.leader_revision)
-        size_left = BATCH_BYTES
-        for job_id in list(self.job_table.finalizing):
-            if len(batch.writes) + FINAL_WRITES > most:
+    def build(self, limit: int) -> Transaction:
+        """The next transaction of up to ``limit`` writes, inside the limit on its size.
+
+        Jobs that are over go first; orphaned records are deleted when nothing more urgent is left.
+        """
+        transaction = Transaction({keys.LEADER: self.leader_revision})
+        self._add_finalizations(transaction, limit)
+        self._add_pages(transaction, limit)
+        while self.orphaned_keys and len(transaction.writes) < limit and not transaction.finalizations:
+            transaction.add_orphan_deletion(self.orphaned_keys.pop())
+        return transaction
+
+    def _add_finalizations(self, transaction: Transaction, limit: int) -> None:
+        for job_id in self.job_table.finalizing:
+            if len(transaction.writes) + WRITES_PER_FINALIZATION > limit:
                 break
-            self._finish(batch, self.job_table.jobs[job_id])
-        finalizing = {job.spec.id for job, _ in batch.finals}
-        for job_id, number in list(self.job_table.uncommitted):
-            if len(batch.writes) + 1 > most or size_left < 0:
+            transaction.add_finalization(self.job_table.jobs[job_id])
+
+    def _add_pages(self, transaction: Transaction, limit: int) -> None:
+        finalized = {finalization.job.spec.id for finalization in transaction.finalizations}
+        bytes_left = TRANSACTION_BYTES
+        for job_id, number in self.job_table.uncommitted:
+            if len(transaction.writes) + 1 > limit or bytes_left < 0:
                 break
-            if job_id in finalizing:
+            if job_id in finalized:
                 continue
             job = self.job_table.jobs[job_id]
-            page = job.pages[number]
-            value: dict[str, Any] = page.encode()
-            if number == 0:
-                value = {"s": encode_spec(job.spec), "at": job.submitted, **value}
-            size_left -= RECORD_BYTES + ATTEMPT_BYTES * len(page.attempts)
-            key = keys.task_page(job_id, number)
-            batch.conditions[key] = page.mod_revision
-            batch.writes.append(Put(key, value))
-            batch.pages.append((job, number, page, page.version))
-        while self.orphaned_keys and len(batch.writes) < most and not batch.finals:
-            key = self.orphaned_keys.pop()
-            batch.writes.append(Delete(key))
-            batch.orphaned_keys.append(key)
-        return batch
-
-    def _finish(self, batch: Batch, job: Job) -> None:
-        job_id = job.spec.id
-        status = CANCELLED if job.cancelled else DONE
-        batch.conditions[keys.job(job_id)] = job.page(0).mod_revision
-        batch.conditions[keys.final(job_id)] = 0
-        batch.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), {"s": status, "n": job.spec.tasks})]
-        if job.cancelled:
-            batch.writes.append(Delete(keys.cancel(job_id)))
-        else:
-            batch.conditions[keys.cancel(job_id)] = 0
-        batch.finals.append((job, status))
+            transaction.add_page(job, number)
+            bytes_left -= RECORD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
 
-    async def commit(self, batch: Batch) -> bool:
+    async def commit(self, transaction: Transaction) -> bool:
         """Carry out one transaction; False when it has to be tried again later."""
         try:
-            result = await self.state.commit(batch.conditions, batch.writes)
+            result = await self.state.commit(transaction.conditions, transaction.writes)
         except UnknownOutcomeError:
-            self.orphaned_keys += batch.orphaned_keys
-            return await self._reread(batch)
+            self.orphaned_keys += transaction.orphaned_keys
+            return await self._refresh_revisions(transaction)
         except StateError as problem:
             debug("commit_failed", error=problem)
-            self.orphaned_keys += batch.orphaned_keys
+            self.orphaned_keys += transaction.orphaned_keys
             return False
         if isinstance(result, Committed):
-            for _, _, page, version in batch.pages:
-                page.mod_revision = result.revision
-                page.committed_version = max(page.committed_version, version)
-            for job, number, page, version in batch.pages:
-                if page.version == version:
-                    self.job_table.uncommitted.pop((job.spec.id, number), None)
-            for job, status in batch.finals:
-                self._ended(job, status)
-            self.on_commit()
+            self._committed(transaction, result.revision)
             return True
-        self.orphaned_keys += batch.orphaned_keys
+        self.orphaned_keys += transaction.orphaned_keys
         if keys.LEADER in result.failed:
-            self.on_lost()
+            self.on_leadership_lost()
             return False
-        return await self._reread(batch)
+        return await self._refresh_revisions(transaction)
+
+    def _committed(self, transaction: Transaction, revision: int) -> None:
+        for write in transaction.page_writes:
+            page = write.page
+            page.mod_revision = revision
+            page.committed_version = max(page.committed_version, write.version)
+            if page.version == write.version:  # it has not changed meanwhile
+                self.job_table.uncommitted.pop((write.job.spec.id, write.number), None)
+        for finalization in transaction.finalizations:
+            self._job_finalized(finalization.job, finalization.status)
+        self.on_committed()
 
-    def _ended(self, job: Job, status: str) -> None:
+    def _job_finalized(self, job: Job, status: str) -> None:
         info("job_finalized", job=job.spec.id, status=status)
-        job.final = status
-        self.removed.add(job.spec.id)
+        job.final_status = status
+        self.finalized.add(job.spec.id)
         self.orphaned_keys += [
-            keys.task_page(job.spec.id, n) for n, page in job.pages.items() if n and page.mod_revision
+            keys.task_page(job.spec.id, number) for number, page in job.pages.items() if number and page.mod_revision
         ]
         self.job_table.remove(job)
-        self.on_final(job.spec.id, status)
+        self.on_finalized(job.spec.id, status)
 
-    async def _reread(self, batch: Batch) -> bool:
-        """After a conflict or silence: learn the versions, since only our own writes can have come between.
+    async def _refresh_revisions(self, transaction: Transaction) -> bool:
+        """Read the revisions again after a conflict or an unknown outcome.
 
-        What was not confirmed stays dirty and is written again over whichever version is there now.
+        Only our own writes can have come between. What was not confirmed stays uncommitted and is written again
+        over whichever version is there now.
+
+        Returns:
+            False when the store couldn't be read.
         """
         try:
-            for job, number, page, _ in batch.pages:
-                entry, _ = await self.state.get(keys.task_page(job.spec.id, number))
-                page.mod_revision = entry.mod_revision if entry is not None else 0
-            for job, _ in batch.finals:
-                ended, _ = await self.state.get(keys.final(job.spec.id))
-                if ended is not None:
-                    self._ended(job, ended.value["s"])
-                    continue
-                entry, _ = await self.state.get(keys.job(job.spec.id))
-                job.page(0).mod_revision = entry.mod_revision if entry is not None else 0
-                mark, _ = await self.state.get(keys.cancel(job.spec.id))
-                if mark is not None and not job.cancelled:
-                    self.job_table.cancel(job, monotonic_time() + mark.value["at"] - time_of_day())
+            for write in transaction.page_writes:
+                write.page.mod_revision = await self._revision(keys.task_page(write.job.spec.id, write.number))
+            for finalization in transaction.finalizations:
+                await self._refresh_finalization(finalization.job)
         except StateError:
             return False
         return True
+
+    async def _refresh_finalization(self, job: Job) -> None:
+        """A job may have been finalized by the transaction of unknown outcome, or cancelled before it."""
+        final, _ = await self.state.get(keys.final(job.spec.id))
+        if final is not None:
+            self._job_finalized(job, decode_record(final.value, FinalRecord).status)
+            return
+        job.page(0).mod_revision = await self._revision(keys.job(job.spec.id))
+        cancellation, _ = await self.state.get(keys.cancel(job.spec.id))
+        if cancellation is not None and not job.cancelled:
+            record = decode_record(cancellation.value, CancellationRecord)
+            self.job_table.cancel(job, monotonic_time() + record.requested_at - time_of_day())
+
+    async def _revision(self, key: str) -> int:
+        entry, _ = await self.state.get(key)
+        return entry.mod_revision if entry is not None else 0
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -7,7 +7,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import WORKER_WAIT_S, Machine, MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
 from passrock.core.preemption import drain
 from passrock.logs import info
@@ -166,7 +166,7 @@
         end of the time the cloud's list shows which have died. Replicas must be up again before: their machines
         are given up as the leases end, which frees them without waiting for the last doubt.
         """
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
             return self.settings.lease_s * CROWD_PATIENCE
         return self.inventory.return_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Check-ins of workers: what the leader answers, and how long an answer waits for new launches."""
+"""Heartbeats of workers: what the leader answers, and how long an answer waits for new launches."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.messages import Command, WorkerHeartbeat
 from passrock.core.preemption import drain
-from passrock.core.reconciler import Reconciler
+from passrock.core.reconciler import Reconciler, ReconciliationResult
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
 from passrock.settings import Settings
 
+ANSWER_DELAY = 0.25  # of the heartbeat interval, the most that an answer waits for an evaluation and its commit
+
 
 class HeartbeatHandler:
-    """Answers check-ins once the leader's records are loaded."""
+    """Answers heartbeats once the leader's records are loaded."""
 
     def __init__(
         self,
@@ -46,22 +48,23 @@
     def handle(self, heartbeat: WorkerHeartbeat) -> list[Command] | Awaitable[list[Command] | None] | None:
         """Commands for a worker, whose lease is renewed by the answer; None when it must get no answer.
 
-        An unchanged report takes a short path: placing is the work of evaluations. When the report makes room,
-        its answer waits for the next evaluation and commit, for a small part of the report interval, so that
-        what is placed there goes into it.
+        An unchanged heartbeat takes a short path: placing tasks is the work of evaluations. When the heartbeat frees
+        capacity, its answer waits for the next evaluation and commit, for a small part of the heartbeat interval, so
+        that what is placed there goes into it.
         """
         now = monotonic_time()
-        kind = self.catalog.types.get(heartbeat.type)
-        if kind is None:
+        machine_type = self.catalog.types.get(heartbeat.type)
+        if machine_type is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
         known = self.inventory.machines.get(heartbeat.machine)
         was_usable = known is not None and known.up and known.confirmed
-        machine = self.inventory.observe(heartbeat, kind, now)
+        machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
-            return None  # a late copy, or of a machine that is gone: an answer could only renew by mistake
-        commands = self.reconciler.handle(machine, heartbeat, now, launch=self.leadership.may_launch())
-        if self.reconciler.changed:
-            self._log_changes(machine, now)
+            return None  # a late copy, or of a machine that is deleted: an answer could only renew by mistake
+        may_launch = self.leadership.may_launch()
+        result = self.reconciler.handle(machine, heartbeat, now, may_launch=may_launch)
+        if result.changed:
+            _log_changes(result, machine, now)
             self.evaluations.request()
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
@@ -71,45 +74,51 @@
         if machine.notice_until is not None:
             drain(self.job_table, machine.name)
         if machine.confirmed and not was_usable:
-            self.rounds.bring_forward()
-            info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
-            self.evaluations.request()
-        attempts = self.job_table.attempts_by_machine.get(machine.name)
-        if self.reconciler.changed or (
-            attempts is not None
-            and any(attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values())
-        ):
-            return self._with_launches(machine, heartbeat, commands, self.evaluations.count)
-        return commands
+            self._machine_registered(machine)
+        if result.changed or self._awaits_launch(machine):
+            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.count)
+        return result.commands
 
-    def _log_changes(self, machine: Machine, now: float) -> None:
-        for attempt in self.reconciler.begun:
-            after = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
-            info("task_started", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
-        for attempt, why in self.reconciler.exits:
-            job = attempt.job.spec.id
-            info(
-                "task_exited",
-                job=job,
-                task=attempt.index,
-                attempt=attempt.number,
-                machine=machine.name,
-                reason=why,
-            )
+    def _machine_registered(self, machine: Machine) -> None:
+        self.rounds.bring_forward()
+        info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
+        self.evaluations.request()
 
-    async def _with_launches(
-        self, machine: Machine, heartbeat: WorkerHeartbeat, commands: list[Command], before: int
+    def _awaits_launch(self, machine: Machine) -> bool:
+        attempts = self.job_table.attempts_by_machine.get(machine.name)
+        return attempts is not None and any(
+            attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values()
+        )
+
+    async def _with_late_launches(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, commands: list[Command], evaluations_before: int
     ) -> list[Command] | None:
-        end = monotonic_time() + self.settings.report_s / 4
-        while monotonic_time() < end:
-            attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
-            if self.evaluations.count > before and all(map(self.job_table.attempt_committed, attempts)):
+        """The commands with the launches that a further evaluation and its commit add in time."""
+        deadline = monotonic_time() + self.settings.report_s * ANSWER_DELAY
+        while monotonic_time() < deadline:
+            attempts = self.job_table.attempts_on(machine.name)
+            if self.evaluations.count > evaluations_before and all(attempt.is_committed for attempt in attempts):
                 break
-            if not await self.evaluations.progress(end - monotonic_time()):
+            if not await self.evaluations.progress(deadline - monotonic_time()):
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
         if self.leadership.may_launch():
-            commands += self.reconciler.launches(machine, heartbeat)
+            commands += self.reconciler.late_launches(machine, heartbeat)
         machine.answered = monotonic_time()
         return commands
+
+
+def _log_changes(result: ReconciliationResult, machine: Machine, now: float) -> None:
+    for attempt in result.started:
+        after = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
+        info("task_started", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
+    for ended in result.exits:
+        info(
+            "task_exited",
+            job=ended.attempt.job.spec.id,
+            task=ended.attempt.index,
+            attempt=ended.attempt.number,
+            machine=machine.name,
+            reason=ended.reason + ("+saved" if ended.saved else ""),
+        )
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -18,11 +18,12 @@
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.job import Job, TaskAttempt
+from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption, stop_softly
-from passrock.core.records import tasks_per_page
+from passrock.core.records import JobRecord, decode_record, tasks_per_page
 from passrock.core.scaling import MachineCatalog
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time, time_of_day
@@ -71,9 +72,9 @@
             self.job_table,
             leadership.leader_revision,
             settings.txn_ops,
-            on_final=replica.note_final,
-            on_commit=self.evaluations.progressed,
-            on_lost=lambda: leadership.step_down("leader key lost"),
+            on_finalized=replica.note_final,
+            on_committed=self.evaluations.progressed,
+            on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(settings, state, cloud, catalog, self.inventory, leadership)
         self.provisioner.on_machine_lost = self.machine_lost
@@ -162,9 +163,10 @@
         if key.startswith(keys.JOB):
             job_id = key[len(keys.JOB) :]
             if entry is None:
-                self.commit_queue.removed.discard(job_id)
-            elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.removed:
-                job = self.job_table.load(entry.value, entry.mod_revision, monotonic_time(), time_of_day())
+                self.commit_queue.finalized.discard(job_id)
+            elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.finalized:
+                record = decode_record(entry.value, JobRecord)
+                job = self.job_table.load(record, entry.mod_revision, monotonic_time(), time_of_day())
                 self.rounds.bring_forward()
                 if job.spec.priority is Priority.PRODUCTION:
                     self._plan_due = 0.0  # it displaces other work at once, best before that is launched
@@ -245,7 +247,8 @@
         for job in queue:
             if not self.preemption.displaces(job):
                 continue
-            early = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
+            is_new = now - job.submitted_at_monotonic < self.settings.report_s
+            early = is_new and job.spec.priority is not Priority.PRODUCTION
             for attempt in self.preemption.make_room(job, now, early):
                 info(
                     "task_preempted",
@@ -255,7 +258,7 @@
                     by=job.spec.id,
                 )
                 stop_softly(attempt, self.settings.gang_peer_s)
-                if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
+                if attempt.is_unlaunched:  # nothing of it is on its way: the room is free at once
                     self.job_table.attempt_lost(attempt, now)
                     self.evaluations.request()
                 machine = self.inventory.machines.get(attempt.machine)
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -17,7 +17,7 @@
 from passrock.controller.user_api import UserApi
 from passrock.core.budget import Budget, rate_share
 from passrock.core.cancellations import Cancellations
-from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
+from passrock.core.messages import Command, CommandKind, TaskState, WorkerHeartbeat
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
@@ -182,7 +182,7 @@
     def _stops(self, heartbeat: WorkerHeartbeat) -> list[Command]:
         """What a node without books can and must say: tasks of cancelled jobs end."""
         return [
-            Command(Op.STOP, row.job, row.index, row.attempt_number)
+            Command(CommandKind.STOP, row.job, row.index, row.attempt_number)
             for row in heartbeat.tasks
             if row.job in self.cancellations and row.state is not TaskState.EXITED
         ]
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -1,4 +1,4 @@
-"""A new leader takes in the records that earlier ones left in the state service."""
+"""A new leader takes in the records that earlier ones left in the key-value store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
+from passrock.core.records import CancellationRecord, JobRecord, TaskPageRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.wire.state import Entry
 
@@ -21,37 +22,58 @@
     rounds: BindingRounds,
     commit_queue: CommitQueue,
 ) -> None:
-    """Fill the books of a new term from this node's copy of the state."""
+    """Fill the job table, the reservations and the inventory of a new term from this node's replica."""
+    _load_jobs(replica, job_table)
+    _load_task_pages(replica, job_table, commit_queue)
+    _load_cancellations(replica, cancellations, job_table)
+    for prefix in (keys.RESERVATION, keys.MORE):
+        for entry in replica.with_prefix(prefix):
+            rounds.load(entry)
+    for entry in replica.with_prefix(keys.HINT):
+        inventory.load_hints(entry.value)
+
+
+def _load_jobs(replica: Replica, job_table: JobTable) -> None:
+    """Load the jobs in the order of their submission."""
     now = monotonic_time()
-    jobs = sorted(replica.with_prefix(keys.JOB), key=lambda e: (e.value["at"], e.key))
-    for entry in jobs:
-        job_table.load(entry.value, entry.mod_revision, now, time_of_day())
+    jobs = [
+        (decode_record(entry.value, JobRecord), entry.key, entry.mod_revision)
+        for entry in replica.with_prefix(keys.JOB)
+    ]
+    jobs.sort(key=lambda job: (job[0].submitted_at, job[1]))
+    for record, _, mod_revision in jobs:
+        job_table.load(record, mod_revision, now, time_of_day())
+
+
+def _load_task_pages(replica: Replica, job_table: JobTable, commit_queue: CommitQueue) -> None:
+    """Load the further pages of tasks; those that a finished job left behind are to be deleted."""
     for entry in replica.with_prefix(keys.TASK_PAGE):
         job_id, _, number = entry.key[len(keys.TASK_PAGE) :].rpartition("/")
         job = job_table.jobs.get(job_id)
         if job is None:
             commit_queue.orphaned_keys.append(entry.key)
         else:
-            job_table.load_page(job, int(number), entry.value, entry.mod_revision)
+            record = decode_record(entry.value, TaskPageRecord)
+            job_table.load_page(job, int(number), record, entry.mod_revision)
+
+
+def _load_cancellations(replica: Replica, cancellations: Cancellations, job_table: JobTable) -> None:
+    """Cancel the jobs that the replica shows cancelled; a peer may have told of some before the replica does."""
     for entry in replica.with_prefix(keys.CANCEL):
         job = job_table.jobs.get(entry.key[len(keys.CANCEL) :])
         if job is not None:
             job_table.cancel(job, confirmed_at(entry))
     for job in list(job_table.jobs.values()):
-        heard = cancellations.when(job.spec.id)
-        if heard is not None:  # a peer may have told of it before the copy shows the mark
-            job_table.cancel(job, heard)
+        learned_at = cancellations.when(job.spec.id)
+        if learned_at is not None:
+            job_table.cancel(job, learned_at)
         job_table.check_loaded(job)
-    for prefix in (keys.RESERVATION, keys.MORE):
-        for entry in replica.with_prefix(prefix):
-            rounds.load(entry)
-    for entry in replica.with_prefix(keys.HINT):
-        inventory.load_hints(entry.value)
 
 
-def confirmed_at(mark: Entry) -> float:
-    """When a cancellation may have been confirmed at the earliest, by this process's steady clock.
+def confirmed_at(cancellation: Entry) -> float:
+    """The earliest monotonic time at which a cancellation may have been confirmed to its user.
 
-    Whoever takes over counts from then, not from its own beginning.
+    Whoever takes over counts from then, not from the beginning of its own term.
     """
-    return monotonic_time() - max(0.0, time_of_day() - mark.value["at"])
+    record = decode_record(cancellation.value, CancellationRecord)
+    return monotonic_time() - max(0.0, time_of_day() - record.requested_at)
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -1,4 +1,8 @@
-"""Accepting jobs: their first records are committed, several in one transaction when many come at once."""
+"""Acceptance of submitted jobs: their first records are committed, several in one transaction when many come at once.
+
+A transaction is a compare-and-swap under the condition that no record of the job exists, not even its final one, so
+that a repeated submission is recognized (idempotent request).
+"""
 
 from __future__ import annotations
 
@@ -7,9 +11,8 @@
 import msgspec
 
 from passrock.controller import keys
-from passrock.core.jobs import new_record
 from passrock.core.model import JobSpec
-from passrock.core.records import Permit
+from passrock.core.records import Permit, encode_record, new_job_record
 from passrock.io.clock import time_of_day
 from passrock.io.state import Committed, Refused, StateClient, StateError
 from passrock.wire.state import Put, Write
@@ -19,28 +22,33 @@
     """What permitted the submission is no longer in force; nothing was accepted."""
 
 
-class Pending(msgspec.Struct):
-    """A submission that awaits its transaction, with everybody who waits for the answer."""
+class PendingSubmission(msgspec.Struct):
+    """A submission that awaits its transaction, with a future for each request that waits for the answer."""
 
     spec: JobSpec
     permit: Permit | None
     futures: list[asyncio.Future[bool]]
 
+    @property
+    def is_abandoned(self) -> bool:
+        """Whether every request has given up waiting."""
+        return all(future.done() for future in self.futures)
+
     def answer(self, accepted: bool) -> None:
-        """Tell all: True when accepted now, False when known already."""
+        """Answer every request: True when the job was accepted now, False when it was known already."""
         for future in self.futures:
             if not future.done():
                 future.set_result(accepted)
 
     def fail(self, problem: StateError) -> None:
-        """Tell all that it was not accepted, or that nobody knows."""
+        """Fail every request: the job was not accepted, or the outcome is unknown."""
         for future in self.futures:
             if not future.done():
                 future.set_exception(problem)
 
 
-def _take_notice(task: asyncio.Task[None]) -> None:
-    """What ended the task was told to everybody who waits; nothing is left to be logged."""
+def _retrieve_exception(task: asyncio.Task[None]) -> None:
+    """Keep asyncio from logging what ended the task: every request has had it as its answer."""
     if not task.cancelled():
         task.exception()
 
@@ -49,48 +57,50 @@
     """Accepts jobs, several in one transaction when many come at once."""
 
     def __init__(self, state: StateClient, txn_ops: int) -> None:
+        """``txn_ops`` is the store's limit on the writes of one transaction."""
         self.state = state
-        self.most = max(1, txn_ops - 1)
-        self.queue: list[Pending] = []
-        self.busy = False
+        self.batch_limit = max(1, txn_ops - 1)
+        self.queue: list[PendingSubmission] = []
+        self.draining = False
 
     async def submit(self, spec: JobSpec, permit: Permit | None = None) -> bool:
         """True when accepted now, False when known already; raises StateError otherwise."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.queue.append(Pending(spec, permit, [future]))
-        if not self.busy:
-            self.busy = True
+        self.queue.append(PendingSubmission(spec, permit, [future]))
+        if not self.draining:
+            self.draining = True
             task = asyncio.ensure_future(self._drain())
-            task.add_done_callback(_take_notice)
+            task.add_done_callback(_retrieve_exception)
         return await future
 
     async def _drain(self) -> None:
+        """Commit until the queue is empty."""
         try:
             while self.queue:
                 batch = self._next_batch()
                 if batch:
                     await self._commit(batch)
         finally:
-            self.busy = False
+            self.draining = False
 
-    def _next_batch(self) -> list[Pending]:
+    def _next_batch(self) -> list[PendingSubmission]:
         """Take what fits into one transaction out of the queue, each job once."""
-        batch: dict[str, Pending] = {}
-        rest: list[Pending] = []
+        batch: dict[str, PendingSubmission] = {}
+        rest: list[PendingSubmission] = []
         for pending in self.queue:
-            if all(future.done() for future in pending.futures):
-                continue  # everybody has given up
-            same = batch.get(pending.spec.id)
-            if same is not None:
-                same.futures += pending.futures
-            elif len(batch) < self.most:
+            if pending.is_abandoned:
+                continue
+            same_job = batch.get(pending.spec.id)
+            if same_job is not None:
+                same_job.futures += pending.futures
+            elif len(batch) < self.batch_limit:
                 batch[pending.spec.id] = pending
             else:
                 rest.append(pending)
         self.queue = rest
         return list(batch.values())
 
-    async def _commit(self, batch: list[Pending]) -> None:
+    async def _commit(self, batch: list[PendingSubmission]) -> None:
         conditions: dict[str, int] = {}
         writes: list[Write] = []
         for pending in batch:
@@ -99,8 +109,9 @@
             conditions[keys.final(job_id)] = 0
             if permit is not None:
                 conditions[permit.key] = permit.mod_revision
-            mark = permit.mark if permit is not None else None
-            writes.append(Put(keys.job(job_id), new_record(pending.spec, time_of_day(), mark)))
+            permit_mark = permit.mark if permit is not None else None
+            record = new_job_record(pending.spec, time_of_day(), permit_mark)
+            writes.append(Put(keys.job(job_id), encode_record(record)))
         try:
             result = await self.state.commit(conditions, writes)
         except StateError as error:
@@ -111,10 +122,10 @@
             for pending in batch:
                 pending.answer(True)
         else:
-            self._refused(batch, result)
+            self._answer_refused(batch, result)
 
-    def _refused(self, batch: list[Pending], result: Refused) -> None:
-        """Some condition failed and nothing was written: answer those it was, and try the others again."""
+    def _answer_refused(self, batch: list[PendingSubmission], result: Refused) -> None:
+        """A condition failed and nothing was written: answer those that it was, and queue the others again."""
         failed = set(result.failed)
         for pending in batch:
             job_id, permit = pending.spec.id, pending.permit
--- /dev/null
+++ b/src/passrock/core/job_table.py
@@ -0,0 +1,236 @@
+"""All unfinished jobs of one leader's term: attempts by machine, resource usage by team, and uncommitted records."""
+
+from __future__ import annotations
+
+from collections.abc import ValuesView
+
+from passrock.core.inventory import Machine
+from passrock.core.job import Job, TaskAttempt, TaskKey, TaskPage
+from passrock.core.model import ZERO_RESOURCES, JobKind, Resources
+from passrock.core.records import JobRecord, TaskPageRecord
+
+
+class JobTable:
+    """The leader's working copy of the job records; every change of what is stored marks its record uncommitted.
+
+    Attributes:
+        attempts_by_machine: machines without attempts have no entry.
+        usage: the resources of each team's attempts.
+        demand_version: counts the changes of what jobs still ask for.
+        uncommitted: job ids and page numbers of records to be written, oldest change first.
+        finalizing: ids of jobs that are over and whose final record has to be written.
+        cancelled: cancelled jobs that aren't finalized, for tasks of them may still be on machines.
+    """
+
+    def __init__(self, page_size: int) -> None:
+        self.page_size = page_size
+        self.jobs: dict[str, Job] = {}
+        self.attempts_by_machine: dict[str, dict[TaskKey, TaskAttempt]] = {}
+        self.usage: dict[str, Resources] = {}
+        self.demand_version = 0
+        self.uncommitted: dict[tuple[str, int], None] = {}
+        self.finalizing: dict[str, None] = {}
+        self.cancelled: dict[str, Job] = {}
+
+    # -- loading records --------------------------------------------------------------------
+
+    def load(self, record: JobRecord, mod_revision: int, now: float, time_of_day: float) -> Job:
+        """Take in a job from its record.
+
+        The job's age comes from the time of day at its submission. Counted from when this leader learned of
+        the job, the age of every waiting job would start anew at each failover.
+        """
+        spec = record.spec.to_spec()
+        age = max(0.0, time_of_day - record.submitted_at)
+        job = Job(spec, record.submitted_at, self.page_size, now - age)
+        self.jobs[spec.id] = job
+        self.demand_version += 1
+        self.load_page(job, 0, record, mod_revision)
+        return job
+
+    def load_page(self, job: Job, number: int, record: TaskPageRecord | JobRecord, mod_revision: int) -> None:
+        """Take in one page of a job from its record."""
+        page = job.page(number * self.page_size)
+        page.attempt_number = record.attempt_number
+        page.completed = int(record.completed_bitmap, 16)
+        page.mod_revision = mod_revision
+        job.done_count += page.completed.bit_count()
+        self.demand_version += 1
+        for index, stored in record.attempts.items():
+            attempt = TaskAttempt(
+                job, index, stored.number, stored.machine, stored.incarnation, placed_this_term=False
+            )
+            page.attempts[index] = attempt
+            self._track(attempt)
+
+    def check_loaded(self, job: Job) -> None:
+        """After all pages are in: a gang with some of its tasks missing is stopped."""
+        if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
+            self._stop_gang(job)
+        self._finalize_if_over(job)
+
+    # -- queries ----------------------------------------------------------------------------
+
+    def attempts_on(self, machine: str) -> ValuesView[TaskAttempt]:
+        """The attempts that are or may be on a machine; copy them before changing any."""
+        return self.attempts_by_machine.get(machine, {}).values()
+
+    def task_committed(self, job_id: str, index: int) -> bool:
+        """Whether all that is known of this task is committed, so that a worker may forget it."""
+        job = self.jobs.get(job_id)
+        if job is None:
+            return True
+        page = job.pages.get(index // self.page_size)
+        return page is None or page.committed_version >= page.version
+
+    def failures_against(self, machine: Machine) -> int:
+        """How many unfinished jobs have failed on a machine and don't seem faulty themselves."""
+        failed = [self.jobs[job_id] for job_id in machine.failed_jobs if job_id in self.jobs]
+        return sum(not job.is_suspect for job in failed)
+
+    # -- changes of attempts ----------------------------------------------------------------
+
+    def start(self, job: Job, index: int, machine: Machine, attempt_number: int, now: float) -> TaskAttempt:
+        """Record an attempt; it may be launched once its record is committed."""
+        page = job.page(index)
+        page.attempt_number = max(page.attempt_number, attempt_number)
+        self._mark_uncommitted(job, page)
+        attempt = TaskAttempt(
+            job, index, attempt_number, machine.name, machine.incarnation, page_version=page.version, placed_at=now
+        )
+        page.attempts[index] = attempt
+        job.requeued.discard(index)
+        self._track(attempt)
+        machine.used = machine.used + job.spec.resources
+        machine.idle_since = None
+        if job.spec.image not in machine.images:
+            machine.fetching.setdefault(job.spec.image, job.spec.image_gb)
+        return attempt
+
+    def attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
+        """There is evidence that the attempt is no longer anywhere: the task waits again.
+
+        A gang that lost a task can't go on, hence its other tasks are stopped.
+        """
+        job = attempt.job
+        page = job.page(attempt.index)
+        if page.attempts.get(attempt.index) is not attempt:
+            return
+        del page.attempts[attempt.index]
+        self._untrack(attempt)
+        self._mark_uncommitted(job, page)
+        if not job.is_done(attempt.index):
+            job.requeued.add(attempt.index)
+            job.waiting_since = now
+            if job.spec.kind is JobKind.GANG:
+                self._stop_gang(job)
+        self._finalize_if_over(job)
+
+    def attempt_completed(self, attempt: TaskAttempt) -> None:
+        """A task has completed; a gang completes as a whole with the first of its tasks."""
+        job = attempt.job
+        for ended in attempt.gang_attempts():
+            del job.page(ended.index).attempts[ended.index]
+            self._untrack(ended)
+        indexes = range(job.spec.tasks) if job.spec.kind is JobKind.GANG else [attempt.index]
+        for index in indexes:
+            self._mark_done(job, index)
+        self._finalize_if_over(job)
+
+    def lease_expired(self, machine: str, now: float) -> int:
+        """The machine's worker has lost its lease: its tasks end, at the latest when it wakes from hanging.
+
+        Those of cancelled jobs are kept until a heartbeat or a deletion proves them gone: the time within which
+        they have to end runs while a machine hangs, also for the next leader, which knows them by these records
+        alone. Returns how many attempts were lost.
+        """
+        attempts = [attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled]
+        for attempt in attempts:
+            self.attempt_lost(attempt, now)
+        return len(attempts)
+
+    def machine_lost(self, machine: str, now: float) -> int:
+        """The machine no longer exists; returns how many attempts were lost with it."""
+        attempts = list(self.attempts_on(machine))
+        for attempt in attempts:
+            self.attempt_lost(attempt, now)
+        return len(attempts)
+
+    def recompute_usage(self, machine: Machine, now: float) -> None:
+        """Update what is used on a machine, and since when it is idle."""
+        used = ZERO_RESOURCES
+        attempts = self.attempts_by_machine.get(machine.name, {})
+        for attempt in attempts.values():
+            used = used + attempt.job.spec.resources
+        machine.used = used
+        if attempts or machine.orphans:
+            machine.idle_since = None
+        elif machine.idle_since is None:
+            machine.idle_since = now
+
+    # -- changes of jobs --------------------------------------------------------------------
+
+    def cancel(self, job: Job, confirmed_at: float) -> None:
+        """The user has had confirmed that the job is cancelled, at ``confirmed_at`` (monotonic) or later."""
+        job.cancelled = True
+        self.demand_version += 1
+        self.cancelled[job.spec.id] = job
+        job.cancelled_at = min(job.cancelled_at, confirmed_at)
+        for attempt in list(job.attempts()):
+            attempt.stop_grace_s = 0.0
+            if attempt.is_unlaunched:
+                self.attempt_lost(attempt, job.waiting_since)
+        self._finalize_if_over(job)
+
+    def remove(self, job: Job) -> None:
+        """The job's final record is committed."""
+        self.jobs.pop(job.spec.id, None)
+        self.demand_version += 1
+        self.cancelled.pop(job.spec.id, None)
+        self.finalizing.pop(job.spec.id, None)
+        for number in job.pages:
+            self.uncommitted.pop((job.spec.id, number), None)
+
+    def _stop_gang(self, job: Job) -> None:
+        """Stop what is left of a gang: all of its tasks have to end before the next attempt."""
+        for attempt in list(job.attempts()):
+            if attempt.stop_grace_s is None:
+                attempt.stop_grace_s = 0.0
+            if attempt.is_unlaunched:
+                self.attempt_lost(attempt, job.waiting_since)
+
+    def _mark_done(self, job: Job, index: int) -> None:
+        page = job.page(index)
+        bit = 1 << (index - page.first)
+        if not page.completed & bit:
+            page.completed |= bit
+            job.done_count += 1
+            self.demand_version += 1
+            self._mark_uncommitted(job, page)
+        job.requeued.discard(index)
+
+    def _finalize_if_over(self, job: Job) -> None:
+        over = job.cancelled or job.done_count == job.spec.tasks
+        if over and job.attempt_count == 0 and job.final_status is None:
+            self.finalizing[job.spec.id] = None
+
+    # -- bookkeeping ------------------------------------------------------------------------
+
+    def _track(self, attempt: TaskAttempt) -> None:
+        attempt.job.attempt_count += 1
+        self.attempts_by_machine.setdefault(attempt.machine, {})[attempt.key] = attempt
+        team = attempt.job.spec.team
+        self.usage[team] = self.usage.get(team, ZERO_RESOURCES) + attempt.job.spec.resources
+
+    def _untrack(self, attempt: TaskAttempt) -> None:
+        attempt.job.attempt_count -= 1
+        attempts = self.attempts_by_machine[attempt.machine]
+        del attempts[attempt.key]
+        if not attempts:
+            del self.attempts_by_machine[attempt.machine]
+        team = attempt.job.spec.team
+        self.usage[team] = self.usage[team] - attempt.job.spec.resources
+
+    def _mark_uncommitted(self, job: Job, page: TaskPage) -> None:
+        page.version += 1
+        self.uncommitted[(job.spec.id, page.first // self.page_size)] = None
--- a/src/passrock/core/messages.py
+++ b/src/passrock/core/messages.py
@@ -1,53 +1,74 @@
-"""What workers report and are told, and what the cloud lists: typed, whatever it looks like on the wire."""
+"""What workers report and are commanded, and what the cloud lists: typed, independent of names on the wire."""
 
 from __future__ import annotations
 
-from enum import Enum, auto
+from enum import Enum, StrEnum, auto
 
 import msgspec
 
 
 class TaskState(Enum):
-    """What a worker says of a task."""
+    """Where a task is in its life, as its worker reports it."""
 
-    FETCHING = auto()
-    WAITING = auto()
+    FETCHING = auto()  # its image
+    WAITING = auto()  # for the other tasks of its gang
     RUNNING = auto()
-    SAVING = auto()
+    SAVING = auto()  # a checkpoint, before it stops
     EXITED = auto()
 
 
-class Op(Enum):
-    """What a worker can be told about a task."""
+class ExitReason(StrEnum):
+    """Why a task exited; the values stand in log events."""
+
+    UNSPECIFIED = ""  # not exited, or for a reason that this version doesn't know
+    COMPLETED = "completed"
+    STOPPED = "stopped"
+    GANG_MEMBER_LOST = "gang_member_lost"
+    GANG_INCOMPLETE = "gang_incomplete"  # gave up waiting for the other tasks of its gang
+    FAILED = "failed"
+    INSUFFICIENT_CAPACITY = "insufficient_capacity"  # the machine has too little left for it
+    ATTEMPT_IN_USE = "attempt_in_use"  # another attempt of the task was still on the machine
+    JOB_UNKNOWN = "job_unknown"
+
+
+class CommandKind(Enum):
+    """What a worker can be commanded to do with a task."""
 
     START = auto()
     STOP = auto()
-    FORGET = auto()
+    FORGET = auto()  # an exited task, which a worker lists until then
 
 
 class Command(msgspec.Struct, frozen=True):
-    """One command to a worker."""
+    """One command to a worker; a stopped task gets ``grace_s`` to save its work."""
 
-    op: Op
+    kind: CommandKind
     job: str
     index: int
     attempt_number: int
-    grace: float = 0.0
+    grace_s: float = 0.0
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task in a worker's report."""
+    """One task in a worker's heartbeat; ``saved`` tells whether an exited one has left a checkpoint."""
 
     job: str
     index: int
     attempt_number: int
     state: TaskState
-    why: str
+    exit_reason: ExitReason
     saved: bool
 
 
 class WorkerHeartbeat(msgspec.Struct, frozen=True):
-    """A worker's check-in."""
+    """A worker's heartbeat.
+
+    Attributes:
+        incarnation: grows each time the worker's lease expires; a later one knows no task of an earlier one.
+        sequence: grows with every heartbeat, so that late copies are told apart.
+        token: the fencing token (term) of the leader whose answer the worker had last.
+        notice: seconds until the cloud takes the machine back, if it has said so.
+    """
 
     machine: str
     type: str
@@ -61,7 +82,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine in the cloud's list."""
+    """A machine in the cloud's list; ``age`` in seconds since it was rented."""
 
     name: str
     type: str
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passrock.core.jobs import Job
+from passrock.core.job import Job
 from passrock.core.model import JobSpec, MachineType
 
 AHEAD = 1.5  # times the time until a rented machine would run a task: then a due job can't wait any more
@@ -52,16 +52,16 @@
         else:
             waits = self._waits.get(spec.job_class, [])
         for within in waits:
-            if now < job.order + within:
-                return job.order + within - fetch
+            if now < job.submitted_at_monotonic + within:
+                return job.submitted_at_monotonic + within - fetch
         ends = self._ends.get(spec.job_class, [])
         if spec.deadline_s is not None:
             ends = sorted([*ends, spec.deadline_s])
         for within in ends:
-            start = job.order + within - spec.estimated_run_s * MARGIN
+            start = job.submitted_at_monotonic + within - spec.estimated_run_s * MARGIN
             if now < start:
                 return start - fetch
-        return PAST + job.order
+        return PAST + job.submitted_at_monotonic
 
     def presses(self, job: Job, kind: MachineType, now: float) -> bool:
         """Whether the job must begin so soon that it can't wait for a cheap machine.
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable
 
 from passrock.core.inventory import Machine
-from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.job import Job, TaskAttempt
+from passrock.core.job_table import JobTable
 from passrock.core.messages import TaskState
 from passrock.core.model import ZERO_RESOURCES, JobKind, Priority
 from passrock.core.objectives import fetch_time
@@ -129,7 +130,7 @@
             attempt.stop_grace_s is not None
             for name, hold in self.scheduler.holds.items()
             if hold.job == job.spec.id
-            for attempt in self.job_table.attempts_by_machine.get(name, {}).values()
+            for attempt in self.job_table.attempts_on(name)
         )
 
     def delay_of(self, plan: list[tuple[Machine, list[TaskAttempt]]]) -> float:
@@ -195,7 +196,7 @@
                 job, machine
             ):
                 continue
-            if (zone is not None and machine.zone != zone) or machine.name in job.avoid:
+            if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
             if machine.fetch_wait(spec) > most_fetch:
                 continue
@@ -224,7 +225,7 @@
         room = self.scheduler.rooms.of(machine)
         if resources.fits(room):
             return 0.0, []
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         for attempt in attempts:
             if attempt.stop_grace_s is not None:  # on its way out already
                 room = room + attempt.job.spec.resources
@@ -269,6 +270,6 @@
 
 def drain(job_table: JobTable, machine: str) -> None:
     """Let everything on a machine save and end, gangs as a whole."""
-    for attempt in list(job_table.attempts_by_machine.get(machine, {}).values()):
+    for attempt in list(job_table.attempts_on(machine)):
         for mate in list(attempt.job.attempts()) if attempt.job.spec.kind is JobKind.GANG else [attempt]:
             stop_softly(mate, mate.job.spec.checkpoint_save_s)
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -1,205 +1,294 @@
-"""A worker's report against the records: what has changed, and what to tell the worker."""
+"""Reconciliation of a worker's heartbeat with the job table: what has changed, and what to command the worker."""
 
 from __future__ import annotations
 
+import msgspec
+
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.jobs import Job, JobTable, TaskAttempt
-from passrock.core.messages import Command, Op, TaskState, TaskStatus, WorkerHeartbeat
+from passrock.core.job import Job, TaskAttempt, TaskKey
+from passrock.core.job_table import JobTable
+from passrock.core.messages import Command, CommandKind, ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import ZERO_RESOURCES, Resources
 
-ERROR_BACKOFF_S = 2.0
-ERROR_BACKOFF_MOST = 60.0
+FAILURE_BACKOFF_S = 2.0  # doubled with each failure
+FAILURE_BACKOFF_DOUBLINGS = 6
+FAILURE_BACKOFF_LIMIT_S = 60.0
+REFUSAL_BACKOFF_REPORTS = 2  # heartbeat intervals until a refused start is tried again
+
+
+class TaskExit(msgspec.Struct, frozen=True):
+    """The exit of a recorded attempt; ``saved`` tells whether it has left a checkpoint."""
+
+    attempt: TaskAttempt
+    reason: ExitReason
+    saved: bool
+
+
+class ReconciliationResult(msgspec.Struct):
+    """What a heartbeat led to.
+
+    Attributes:
+        commands: for the worker.
+        changed: whether the heartbeat changed anything that matters to scheduling.
+        exits: attempts that the heartbeat shows exited.
+        started: attempts that are shown to run for the first time in this term.
+    """
+
+    commands: list[Command] = msgspec.field(default_factory=list)
+    changed: bool = False
+    exits: list[TaskExit] = msgspec.field(default_factory=list)
+    started: list[TaskAttempt] = msgspec.field(default_factory=list)
+
+
+class _Evidence(msgspec.Struct, frozen=True):
+    """A heartbeat, when it came, and whether this leader may launch tasks now."""
+
+    machine: Machine
+    heartbeat: WorkerHeartbeat
+    now: float
+    may_launch: bool
+    is_current_term: bool  # the worker has had an answer of this leader
 
 
 class Reconciler:
-    """Turns reports into changes of the book and commands."""
+    """Turns heartbeats into changes of the job table and commands."""
 
     def __init__(self, job_table: JobTable, inventory: MachineInventory, term: int) -> None:
         self.job_table = job_table
         self.inventory = inventory
         self.term = term
-        self.changed = False
-        self.unheeded = False
-        self.exits: list[tuple[TaskAttempt, str]] = []
-        self.begun: list[TaskAttempt] = []
-
-    def handle(self, machine: Machine, heartbeat: WorkerHeartbeat, now: float, launch: bool) -> list[Command]:
-        """Commands in answer to a report that the fleet has just taken in."""
-        self.changed = False
-        self.exits = []
-        self.begun = []
-        commands: list[Command] = []
-        held = self.job_table.attempts_by_machine.get(machine.name, {})
-        for attempt in [one for one in held.values() if one.incarnation < heartbeat.incarnation]:
-            self._gone(attempt, now)  # a later session has forgotten every task of the earlier ones
-        orphans: dict[tuple[str, int], Resources] = {}
-        fetching: dict[str, float] = {}
-        listed: set[tuple[str, int, int]] = set()
-        for row in heartbeat.tasks:
-            listed.add((row.job, row.index, row.attempt_number))
-            recorded = self.job_table.attempts_by_machine.get(machine.name, {}).get((row.job, row.index))
-            match = (
-                recorded is not None
-                and recorded.number == row.attempt_number
-                and recorded.incarnation == heartbeat.incarnation
-            )
-            if row.state is TaskState.EXITED:
-                commands += self._ended(recorded if match else None, row, machine, heartbeat, launch, now)
-            elif match and recorded is not None:
-                self._present(recorded, row, machine, now)
-                if row.state is TaskState.FETCHING:
-                    fetching[recorded.job.spec.image] = recorded.job.spec.image_gb
-                commands += self._stop(recorded, row)
-            else:
-                job = self.job_table.jobs.get(row.job)
-                orphans[(row.job, row.index)] = ZERO_RESOURCES if job is None else job.spec.resources
-                commands.append(Command(Op.STOP, row.job, row.index, row.attempt_number))
-        machine.orphans = orphans
-        self.unheeded = False
-        for attempt in list(self.job_table.attempts_by_machine.get(machine.name, {}).values()):
-            if (attempt.job.spec.id, attempt.index, attempt.number) not in listed:
-                commands += self._absent(attempt, heartbeat, machine, launch, now)
-                if attempt.state is None:
-                    fetching.setdefault(attempt.job.spec.image, attempt.job.spec.image_gb)
-        if self.unheeded:
-            machine.ignored(now)
+
+    def handle(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, now: float, *, may_launch: bool
+    ) -> ReconciliationResult:
+        """Reconcile a heartbeat that the inventory has just taken in."""
+        result = ReconciliationResult()
+        evidence = _Evidence(machine, heartbeat, now, may_launch, heartbeat.token == self.term)
+        recorded = self.job_table.attempts_by_machine.get(machine.name, {})  # shrinks as attempts end
+        self._drop_earlier_incarnations(recorded, evidence, result)
+        fetching = self._reconcile_listed(recorded, evidence, result)
+        self._reconcile_unlisted(recorded, fetching, evidence, result)
         machine.fetching = {image: gb for image, gb in fetching.items() if image not in machine.images}
         self.job_table.recompute_usage(machine, now)
-        return commands
+        return result
 
-    def _ended(
-        self,
-        attempt: TaskAttempt | None,
-        row: TaskStatus,
-        machine: Machine,
-        heartbeat: WorkerHeartbeat,
-        launch: bool,
-        now: float,
-    ) -> list[Command]:
-        """An exited task; ``attempt`` is its attempt if that is the recorded one."""
-        if attempt is not None:
-            # a report of an older term may have been held up while its attempt was started again, as
-            # a gang's impatient task is; only completion is final whenever it is heard of
-            if heartbeat.token != self.term and row.why != "done":
-                return []
-            if launch and self._wait_on(attempt, row):
-                attempt.launch_sequence = heartbeat.sequence
-                attempt.reported = False
-                attempt.state = None
-                return [Command(op, row.job, row.index, row.attempt_number) for op in (Op.FORGET, Op.START)]
-            self._exited(attempt, row, machine, now)
-        if self.job_table.task_committed(row.job, row.index) and launch:
-            return [Command(Op.FORGET, row.job, row.index, row.attempt_number)]
-        return []
-
-    def launches(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """Starts whose records were committed while the answer to this report was being made."""
+    def late_launches(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
+        """Starts whose records were committed while the answer to this heartbeat waited."""
         commands = []
-        for attempt in list(self.job_table.attempts_by_machine.get(machine.name, {}).values()):
+        for attempt in self.job_table.attempts_on(machine.name):
             if (
                 attempt.launch_sequence is None
                 and not attempt.reported
                 and attempt.stop_grace_s is None
                 and attempt.incarnation == heartbeat.incarnation
+                and not _is_unwanted(attempt, machine)
+                and attempt.is_committed
             ):
-                commands += self._absent(attempt, heartbeat, machine, launch=True)
+                commands.append(_launch(attempt, heartbeat))
         return commands
 
-    def _gone(self, attempt: TaskAttempt, now: float) -> None:
-        self.changed = True
-        self.job_table.attempt_lost(attempt, now)
+    # -- what the heartbeat lists -----------------------------------------------------------
+
+    def _drop_earlier_incarnations(
+        self, recorded: dict[TaskKey, TaskAttempt], evidence: _Evidence, result: ReconciliationResult
+    ) -> None:
+        """A later incarnation of the worker has forgotten every task of the earlier ones."""
+        incarnation = evidence.heartbeat.incarnation
+        for attempt in list(recorded.values()):
+            if attempt.incarnation < incarnation:
+                self._lose(attempt, evidence, result)
+
+    def _reconcile_listed(
+        self, recorded: dict[TaskKey, TaskAttempt], evidence: _Evidence, result: ReconciliationResult
+    ) -> dict[str, float]:
+        """Reconcile the listed tasks; returns the images that are being fetched, with their size in GB."""
+        machine = evidence.machine
+        orphans: dict[TaskKey, Resources] = {}
+        fetching: dict[str, float] = {}
+        for task in evidence.heartbeat.tasks:
+            attempt = recorded.get((task.job, task.index))
+            if attempt is not None and (
+                attempt.number != task.attempt_number or attempt.incarnation != evidence.heartbeat.incarnation
+            ):
+                attempt = None  # the listed one is another attempt of the task
+            if task.state is TaskState.EXITED:
+                self._handle_exit(attempt, task, evidence, result)
+            elif attempt is not None:
+                self._update_state(attempt, task, evidence, result)
+                if task.state is TaskState.FETCHING:
+                    fetching[attempt.job.spec.image] = attempt.job.spec.image_gb
+                stop = _stop_command(attempt, task)
+                if stop is not None:
+                    result.commands.append(stop)
+            else:
+                job = self.job_table.jobs.get(task.job)
+                orphans[(task.job, task.index)] = ZERO_RESOURCES if job is None else job.spec.resources
+                result.commands.append(_command(CommandKind.STOP, task))
+        machine.orphans = orphans
+        return fetching
 
-    def _present(self, attempt: TaskAttempt, row: TaskStatus, machine: Machine, now: float) -> None:
+    def _update_state(
+        self, attempt: TaskAttempt, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
+    ) -> None:
+        machine = evidence.machine
         if not attempt.reported:
             attempt.reported = True
             machine.unheeded = 0
-        if attempt.state is not row.state:
-            self.changed = True
-            attempt.state = row.state
-            if row.state is TaskState.RUNNING and attempt.running_since is None:
-                attempt.running_since = now
-                self.begun.append(attempt)
-        if row.state is not TaskState.FETCHING:
+        if attempt.state is not task.state:
+            result.changed = True
+            attempt.state = task.state
+            if task.state is TaskState.RUNNING and attempt.running_since is None:
+                attempt.running_since = evidence.now
+                result.started.append(attempt)
+        if task.state is not TaskState.FETCHING:
             machine.fetched(attempt.job.spec)
 
-    def _stop(self, attempt: TaskAttempt, row: TaskStatus) -> list[Command]:
-        if attempt.job.cancelled:
-            attempt.stop_grace_s = 0.0
-        if attempt.stop_grace_s is None or (row.state is TaskState.SAVING and attempt.stop_grace_s > 0):
-            return []
-        return [Command(Op.STOP, row.job, row.index, row.attempt_number, attempt.stop_grace_s)]
+    # -- what the heartbeat doesn't list ----------------------------------------------------
 
-    def _absent(
+    def _reconcile_unlisted(
         self,
-        attempt: TaskAttempt,
-        heartbeat: WorkerHeartbeat,
-        machine: Machine,
-        launch: bool,
-        now: float | None = None,
-    ) -> list[Command]:
-        """A recorded attempt that the report does not list.
-
-        Only a report that carries this leader's own term proves absence: an older one may have been
+        recorded: dict[TaskKey, TaskAttempt],
+        fetching: dict[str, float],
+        evidence: _Evidence,
+        result: ReconciliationResult,
+    ) -> None:
+        """Launch or lose recorded attempts that are missing, and add the images they will fetch to ``fetching``."""
+        listed = {(task.job, task.index, task.attempt_number) for task in evidence.heartbeat.tasks}
+        launch_unacknowledged = False
+        for attempt in list(recorded.values()):
+            if (attempt.job.spec.id, attempt.index, attempt.number) in listed:
+                continue
+            launch_unacknowledged |= self._reconcile_absent(attempt, evidence, result)
+            if attempt.state is None:
+                fetching.setdefault(attempt.job.spec.image, attempt.job.spec.image_gb)
+        if launch_unacknowledged:
+            evidence.machine.ignored(evidence.now)
+
+    def _reconcile_absent(self, attempt: TaskAttempt, evidence: _Evidence, result: ReconciliationResult) -> bool:
+        """Launch or lose a recorded attempt that the heartbeat doesn't list.
+
+        Only a heartbeat that carries this leader's own term proves absence: an older one may have been
         held up on its way while a former leader still launched on the machine.
+
+        Returns:
+            Whether an earlier answer carried the launch, and this heartbeat proves that it had no effect.
         """
-        proof = heartbeat.token == self.term and (
+        heartbeat = evidence.heartbeat
+        launch_sent = attempt.launch_sequence is not None
+        proves_absence = evidence.is_current_term and (
             attempt.launch_sequence is None or heartbeat.sequence > attempt.launch_sequence
         )
-        unwanted = (
-            attempt.stop_grace_s is not None
-            or attempt.job.cancelled
-            or machine.notice_until is not None
-            or machine.deleting
-        )
-        if proof and (unwanted or attempt.reported) and now is not None:
-            self._gone(attempt, now)
-            return []
-        if unwanted or not launch or not self.job_table.attempt_committed(attempt):
-            return []
-        if proof and attempt.launch_sequence is not None:
-            self.unheeded = True  # the launch was sent, and the next report shows nothing of it
-        attempt.launch_sequence = heartbeat.sequence
-        return [Command(Op.START, attempt.job.spec.id, attempt.index, attempt.number)]
-
-    def _exited(self, attempt: TaskAttempt, row: TaskStatus, machine: Machine, now: float) -> None:
-        self.changed = True
-        self.exits.append((attempt, row.why + ("+saved" if row.saved else "")))
-        job = attempt.job
-        if row.why == "done":
-            machine.failed_jobs.pop(job.spec.id, None)
-            job.errors = 0
-            self.job_table.attempt_completed(attempt)
-            return
-        if row.why == "error":
-            self._failed(job, machine, now)
-        elif row.why in ("no_room", "busy"):
-            machine.blocked_until = now + self.inventory.report_s * 2
-        elif row.why == "unknown":
-            job.not_before = now + self.inventory.report_s * 2
-        self.job_table.attempt_lost(attempt, now)
+        unwanted = attempt.stop_grace_s is not None or _is_unwanted(attempt, evidence.machine)
+        if proves_absence and (unwanted or attempt.reported):
+            self._lose(attempt, evidence, result)
+            return False
+        if unwanted or not evidence.may_launch or not attempt.is_committed:
+            return False
+        result.commands.append(_launch(attempt, heartbeat))
+        return proves_absence and launch_sent
 
-    def _wait_on(self, attempt: TaskAttempt, row: TaskStatus) -> bool:
-        """A gang task gave up waiting while its mates still fetch their image: start it again there.
+    def _lose(self, attempt: TaskAttempt, evidence: _Evidence, result: ReconciliationResult) -> None:
+        result.changed = True
+        self.job_table.attempt_lost(attempt, evidence.now)
 
-        Mates need very different times for large images. Giving the whole gang up each time the
-        first ones lost patience made it fetch and wait over and over.
-        """
-        if row.why != "alone" or attempt.stop_grace_s is not None or attempt.job.cancelled:
-            return False
-        mates = list(attempt.job.attempts())
-        started = any(mate.running_since is not None for mate in mates)
-        return not started and len(mates) == attempt.job.spec.tasks
+    # -- exits ------------------------------------------------------------------------------
+
+    def _handle_exit(
+        self, attempt: TaskAttempt | None, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
+    ) -> None:
+        """An exited task; ``attempt`` is None unless this is the recorded attempt."""
+        if attempt is not None:
+            # A heartbeat of an older term may have been held up while its attempt was started again, as a gang's
+            # task is that gave up waiting; only completion is final whenever it is heard of.
+            if not evidence.is_current_term and task.exit_reason is not ExitReason.COMPLETED:
+                return
+            if evidence.may_launch and _may_wait_on(attempt, task):
+                self._restart_in_place(attempt, task, evidence, result)
+                return
+            self._record_exit(attempt, task, evidence, result)
+        if self.job_table.task_committed(task.job, task.index) and evidence.may_launch:
+            result.commands.append(_command(CommandKind.FORGET, task))
+
+    def _restart_in_place(
+        self, attempt: TaskAttempt, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
+    ) -> None:
+        attempt.launch_sequence = evidence.heartbeat.sequence
+        attempt.reported = False
+        attempt.state = None
+        result.commands += [_command(CommandKind.FORGET, task), _command(CommandKind.START, task)]
 
-    def _failed(self, job: Job, machine: Machine, now: float) -> None:
+    def _record_exit(
+        self, attempt: TaskAttempt, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
+    ) -> None:
+        job, machine, now = attempt.job, evidence.machine, evidence.now
+        result.changed = True
+        result.exits.append(TaskExit(attempt, task.exit_reason, task.saved))
+        retry_at = now + self.inventory.report_s * REFUSAL_BACKOFF_REPORTS
+        match task.exit_reason:
+            case ExitReason.COMPLETED:
+                machine.failed_jobs.pop(job.spec.id, None)
+                job.consecutive_failures = 0
+                self.job_table.attempt_completed(attempt)
+                return
+            case ExitReason.FAILED:
+                self._record_failure(job, machine, now)
+            case ExitReason.INSUFFICIENT_CAPACITY | ExitReason.ATTEMPT_IN_USE:
+                machine.blocked_until = retry_at
+            case ExitReason.JOB_UNKNOWN:
+                job.retry_not_before = retry_at
+        self.job_table.attempt_lost(attempt, now)
+
+    def _record_failure(self, job: Job, machine: Machine, now: float) -> None:
         """A task failed: mostly the machine is at fault, but a job may fail wherever it is started.
 
-        A suspect job costs no machine its place: one faulty array once blocked every machine that it tried.
+        A suspect job doesn't block machines: one faulty array once blocked every machine that it tried.
         """
         if not job.is_suspect:
             machine.blocked_until = max(machine.blocked_until, now + self.inventory.lease_s)
         machine.failed_jobs[job.spec.id] = now
-        job.avoid.add(machine.name)
-        job.errors += 1
-        if len(job.avoid) > 1:
-            backoff = ERROR_BACKOFF_S * 2 ** min(job.errors, 6)
-            job.not_before = now + min(backoff, ERROR_BACKOFF_MOST)
+        job.avoided_machines.add(machine.name)
+        job.consecutive_failures += 1
+        if len(job.avoided_machines) > 1:
+            backoff = FAILURE_BACKOFF_S * 2 ** min(job.consecutive_failures, FAILURE_BACKOFF_DOUBLINGS)
+            job.retry_not_before = now + min(backoff, FAILURE_BACKOFF_LIMIT_S)
+
+
+def _command(kind: CommandKind, task: TaskStatus, grace_s: float = 0.0) -> Command:
+    return Command(kind, task.job, task.index, task.attempt_number, grace_s)
+
+
+def _launch(attempt: TaskAttempt, heartbeat: WorkerHeartbeat) -> Command:
+    """The command to start an attempt, noted as sent in answer to this heartbeat."""
+    attempt.launch_sequence = heartbeat.sequence
+    return Command(CommandKind.START, attempt.job.spec.id, attempt.index, attempt.number)
+
+
+def _is_unwanted(attempt: TaskAttempt, machine: Machine) -> bool:
+    """Whether the attempt must not be launched: its job is cancelled, or its machine is about to go."""
+    return attempt.job.cancelled or machine.notice_until is not None or machine.deleting
+
+
+def _stop_command(attempt: TaskAttempt, task: TaskStatus) -> Command | None:
+    """The command to stop a listed attempt if it has to; a second one would break off a checkpoint being saved."""
+    if attempt.job.cancelled:
+        attempt.stop_grace_s = 0.0
+    if attempt.stop_grace_s is None or (task.state is TaskState.SAVING and attempt.stop_grace_s > 0):
+        return None
+    return _command(CommandKind.STOP, task, attempt.stop_grace_s)
+
+
+def _may_wait_on(attempt: TaskAttempt, task: TaskStatus) -> bool:
+    """Whether a gang task that gave up waiting may start again where it is, for the others still fetch their image.
+
+    Members of a gang need very different times for large images. Giving the whole gang up each time the first ones
+    gave up waiting made it fetch and wait over and over.
+    """
+    if (
+        task.exit_reason is not ExitReason.GANG_INCOMPLETE
+        or attempt.stop_grace_s is not None
+        or attempt.job.cancelled
+    ):
+        return False
+    members = list(attempt.job.attempts())
+    started = any(member.running_since is not None for member in members)
+    return not started and len(members) == attempt.job.spec.tasks
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -1,19 +1,31 @@
-"""Job descriptions as the state service stores them, and how much one record holds."""
+"""The stored form of jobs and their tasks in the key-value store, and how much one record holds.
+
+A newer controller reads what an older one wrote during a rolling restart, hence the short stored names, their order
+and the types of the values stay as they are.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 
 ATTEMPT_BYTES = 44  # a recorded attempt at its longest, as JSON
-DESCRIPTION_BYTES = 1200  # kept free in a job's own record for its description
+DESCRIPTION_BYTES = 1200  # kept free in a job's own record for its specification
+SPEC_BYTES = DESCRIPTION_BYTES - 100  # of these, the most that the specification itself may take
+LEAST_TASKS_PER_PAGE = 8
 DONE = "done"
 CANCELLED = "cancelled"
 PERMIT_MARK = "ad"  # the field of a job's first record with the mark of its permit
 
+Record = TypeVar("Record", bound=msgspec.Struct)
+
+
+class UnreadableRecordError(Exception):
+    """A stored value that isn't a record of the expected kind."""
+
 
 class Permit(msgspec.Struct, frozen=True):
     """What a submission's transaction depends on, and the mark that the job's first record carries of it.
@@ -26,55 +38,211 @@
     mark: list[int]
 
 
+class AttemptRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A task attempt that is, or may be, on a machine; stored as an array."""
+
+    number: int
+    machine: str
+    incarnation: int
+
+
+class TaskPageRecord(
+    msgspec.Struct, frozen=True, rename={"attempt_number": "a", "completed_bitmap": "d", "attempts": "l"}
+):
+    """One page of a job's tasks: all but the first page have a record of their own.
+
+    Attributes:
+        attempt_number: the highest number that any attempt on this page has had.
+        completed_bitmap: in hexadecimal; bit ``n`` stands for the ``n``-th task of the page.
+        attempts: the attempts by the index of their task within the job.
+    """
+
+    attempt_number: int
+    completed_bitmap: str
+    attempts: dict[int, AttemptRecord]
+
+
+class ResourcesRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The resources that a task requests; stored as an array."""
+
+    cpus: float
+    gpus: float
+    memory: float
+
+
+class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
+    """Where tasks may be placed; stored as an array."""
+
+    single_zone: bool
+    spread_zones: bool
+    allows_spot: bool
+
+
+class DurationsRecord(msgspec.Struct, frozen=True, array_like=True):
+    """Durations that the user stated; stored as an array."""
+
+    estimated_run_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
+
+
+class JobSpecRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "job_class": "c",
+        "team": "t",
+        "kind": "k",
+        "priority": "p",
+        "tasks": "n",
+        "resources": "r",
+        "image": "i",
+        "image_gb": "ig",
+        "types": "ty",
+        "zone": "z",
+        "placement": "f",
+        "durations": "e",
+        "deadline_s": "dl",
+    },
+):
+    """A job specification as stored."""
+
+    id: str
+    job_class: str
+    team: str
+    kind: JobKind
+    priority: Priority
+    tasks: int
+    resources: ResourcesRecord
+    image: str
+    image_gb: float
+    types: list[str] | None
+    zone: str | None
+    placement: PlacementRecord
+    durations: DurationsRecord
+    deadline_s: float | None
+
+    @classmethod
+    def of(cls, spec: JobSpec) -> JobSpecRecord:
+        """The stored form of ``spec``."""
+        return cls(
+            id=spec.id,
+            job_class=spec.job_class,
+            team=spec.team,
+            kind=spec.kind,
+            priority=spec.priority,
+            tasks=spec.tasks,
+            resources=ResourcesRecord(spec.resources.cpus, spec.resources.gpus, spec.resources.memory),
+            image=spec.image,
+            image_gb=spec.image_gb,
+            types=None if spec.types is None else list(spec.types),
+            zone=spec.zone,
+            placement=PlacementRecord(spec.single_zone, spec.spread_zones, spec.allows_spot),
+            durations=DurationsRecord(spec.estimated_run_s, spec.checkpoint_interval_s, spec.checkpoint_save_s),
+            deadline_s=spec.deadline_s,
+        )
+
+    def to_spec(self) -> JobSpec:
+        """The specification that this record stores."""
+        return JobSpec(
+            id=self.id,
+            job_class=self.job_class,
+            team=self.team,
+            kind=self.kind,
+            priority=self.priority,
+            tasks=self.tasks,
+            resources=Resources(self.resources.cpus, self.resources.gpus, self.resources.memory),
+            image=self.image,
+            image_gb=self.image_gb,
+            types=None if self.types is None else tuple(self.types),
+            zone=self.zone,
+            single_zone=self.placement.single_zone,
+            spread_zones=self.placement.spread_zones,
+            allows_spot=self.placement.allows_spot,
+            estimated_run_s=self.durations.estimated_run_s,
+            checkpoint_interval_s=self.durations.checkpoint_interval_s,
+            checkpoint_save_s=self.durations.checkpoint_save_s,
+            deadline_s=self.deadline_s,
+        )
+
+
+class JobRecord(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "spec": "s",
+        "submitted_at": "at",
+        "attempt_number": "a",
+        "completed_bitmap": "d",
+        "attempts": "l",
+        "permit_mark": PERMIT_MARK,
+    },
+):
+    """An unfinished job with its first page of tasks, whose fields are those of a ``TaskPageRecord``.
+
+    Attributes:
+        spec: what the user submitted.
+        submitted_at: seconds since the epoch.
+        permit_mark: the mark of the submission's permit if it needed one; only in the job's first record.
+    """
+
+    spec: JobSpecRecord
+    submitted_at: float
+    attempt_number: int
+    completed_bitmap: str
+    attempts: dict[int, AttemptRecord]
+    permit_mark: list[int] | msgspec.UnsetType = msgspec.UNSET
+
+    @classmethod
+    def of(cls, spec: JobSpec, submitted_at: float, first_page: TaskPageRecord) -> JobRecord:
+        """The record of a job whose first tasks are in this state."""
+        return cls(
+            JobSpecRecord.of(spec),
+            submitted_at,
+            first_page.attempt_number,
+            first_page.completed_bitmap,
+            first_page.attempts,
+        )
+
+
+class FinalRecord(msgspec.Struct, frozen=True, rename={"status": "s", "tasks": "n"}):
+    """How a job ended: ``DONE`` or ``CANCELLED``; its other records are deleted."""
+
+    status: str
+    tasks: int
+
+
+class CancellationRecord(msgspec.Struct, frozen=True, rename={"requested_at": "at"}):
+    """A cancellation that a user asked for, in seconds since the epoch: before it was confirmed."""
+
+    requested_at: float
+
+
+def encode_record(record: msgspec.Struct) -> dict[str, Any]:
+    """A record as the plain mapping that the key-value store holds."""
+    value: dict[str, Any] = msgspec.to_builtins(record, str_keys=True)
+    return value
+
+
+def decode_record(value: object, kind: type[Record]) -> Record:
+    """A stored value as a record of this kind; raises UnreadableRecordError when it isn't one."""
+    try:
+        return msgspec.convert(value, kind, str_keys=True)
+    except msgspec.ValidationError as error:
+        raise UnreadableRecordError(f"{kind.__name__}: {error}") from error
+
+
+def new_job_record(spec: JobSpec, submitted_at: float, permit_mark: list[int] | None = None) -> JobRecord:
+    """The first record of an accepted job, with the mark of its permit if it needed one."""
+    record = JobRecord.of(spec, submitted_at, TaskPageRecord(0, "0", {}))
+    return record if permit_mark is None else msgspec.structs.replace(record, permit_mark=permit_mark)
+
+
 def tasks_per_page(value_bytes: int) -> int:
-    """How many tasks one record holds, with room left for the job's own description."""
-    return max(8, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
-
-
-def encode_spec(spec: JobSpec) -> dict[str, Any]:
-    """A job's description for its record."""
-    return {
-        "id": spec.id,
-        "c": spec.job_class,
-        "t": spec.team,
-        "k": spec.kind.value,
-        "p": int(spec.priority),
-        "n": spec.tasks,
-        "r": [spec.resources.cpus, spec.resources.gpus, spec.resources.memory],
-        "i": spec.image,
-        "ig": spec.image_gb,
-        "ty": None if spec.types is None else list(spec.types),
-        "z": spec.zone,
-        "f": [spec.single_zone, spec.spread_zones, spec.allows_spot],
-        "e": [spec.estimated_run_s, spec.checkpoint_interval_s, spec.checkpoint_save_s],
-        "dl": spec.deadline_s,
-    }
-
-
-def decode_spec(data: dict[str, Any]) -> JobSpec:
-    """The reverse of encode_spec."""
-    return JobSpec(
-        id=data["id"],
-        job_class=data["c"],
-        team=data["t"],
-        kind=JobKind(data["k"]),
-        priority=Priority(data["p"]),
-        tasks=data["n"],
-        resources=Resources(*data["r"]),
-        image=data["i"],
-        image_gb=data["ig"],
-        types=None if data["ty"] is None else tuple(data["ty"]),
-        zone=data["z"],
-        single_zone=data["f"][0],
-        spread_zones=data["f"][1],
-        allows_spot=data["f"][2],
-        estimated_run_s=data["e"][0],
-        checkpoint_interval_s=data["e"][1],
-        checkpoint_save_s=data["e"][2],
-        deadline_s=data["dl"],
-    )
+    """How many tasks one record of at most ``value_bytes`` holds beside the job's own specification."""
+    return max(LEAST_TASKS_PER_PAGE, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
 
 
 def fits_record(spec: JobSpec) -> bool:
-    """Whether the description is short enough for its record."""
-    return len(msgspec.json.encode(encode_spec(spec))) <= DESCRIPTION_BYTES - 100
+    """Whether the specification is short enough for its record."""
+    return len(msgspec.json.encode(JobSpecRecord.of(spec))) <= SPEC_BYTES
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.jobs import Job, JobTable, smallest_request
+from passrock.core.job import Job, smallest_request
+from passrock.core.job_table import JobTable
 from passrock.core.model import ZERO_RESOURCES, JobKind, MachineType, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.jobs import Job, JobTable, TaskAttempt, smallest_request
+from passrock.core.job import Job, TaskAttempt, smallest_request
+from passrock.core.job_table import JobTable
 from passrock.core.model import ZERO_RESOURCES, JobKind, MachineType, Priority, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives, fetch_time
 
@@ -104,7 +105,7 @@
         self.guaranteed = set()
         self._ranks = {}
         asked: dict[str, Resources] = {}
-        for job in sorted(self.job_table.jobs.values(), key=lambda job: (job.submitted, job.spec.id)):
+        for job in sorted(self.job_table.jobs.values(), key=lambda job: (job.submitted_at, job.spec.id)):
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
@@ -133,8 +134,8 @@
             for job in self.job_table.jobs.values()
             if job.waiting > 0
             and not job.cancelled
-            and job.not_before <= now
-            and job.final is None
+            and job.retry_not_before <= now
+            and job.final_status is None
             and not (job.spec.kind is JobKind.GANG and job.attempt_count > 0)
         ]
 
@@ -142,9 +143,9 @@
             production, guaranteed, _ = self.rank(job)
             behind = job.spec.id not in self.favoured
             if self.objectives.overdue(job, now):  # oldest first; otherwise those past all aims would wait for ever
-                return behind, not production, False, False, job.waiting_since, job.order
+                return behind, not production, False, False, job.waiting_since, job.submitted_at_monotonic
             due = self.objectives.due(job, now, guaranteed, self.longest_fetch(job))
-            return behind, not production, True, not guaranteed, due, job.order
+            return behind, not production, True, not guaranteed, due, job.submitted_at_monotonic
 
         return sorted(ready, key=order)
 
@@ -217,7 +218,7 @@
             cost += FOREIGN_COST
         if spec.allows_spot and not machine.spot:
             cost += DEAR_COST
-        if machine.name in job.avoid:
+        if machine.name in job.avoided_machines:
             cost += AVOID_COST
         if spec.kind is JobKind.SERVICE:
             # replicas stay for long: spread over empty machines they strand the rest of each, which then
@@ -307,7 +308,7 @@
             started.append(self.job_table.start(job, index, machine, job.next_attempt_number(index), now))
             self.again(job, machine, heap)
         self.cut_short = self.cut_short or len(started) == ARRAY_BATCH
-        job.advance()
+        job.advance_first_waiting()
         return started
 
     def has_hold(self, job: Job) -> bool:
@@ -355,7 +356,7 @@
             self.rooms.take(machine, spec.resources)
             self.holds.pop(machine.name, None)
             started.append(self.job_table.start(job, index, machine, attempt_number, now))
-        job.advance()
+        job.advance_first_waiting()
         return started
 
     # -- room kept for what has waited long ------------------------------------------------
@@ -414,7 +415,7 @@
         if resources.fits(room):
             return 0.0
         ends = []
-        for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values():
+        for attempt in self.job_table.attempts_on(machine.name):
             left = attempt.job.spec.estimated_run_s - (now - (attempt.running_since or now))
             if attempt.stop_grace_s is not None:
                 left = self.patience
--- a/src/passrock/wire/workers.py
+++ b/src/passrock/wire/workers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passrock.core.messages import Command, Op, TaskState, TaskStatus, WorkerHeartbeat
+from passrock.core.messages import Command, CommandKind, ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.wire import cbor
 
 CHECKIN_PATH = "/checkin"
@@ -16,17 +16,17 @@
     "flushing": TaskState.SAVING,
     "exited": TaskState.EXITED,
 }
-REASONS = {
-    "done": "done",
-    "stopped": "stopped",
-    "mates_gone": "peers",
-    "incomplete": "alone",
-    "error": "error",
-    "full": "no_room",
-    "in_use": "busy",
-    "unknown": "unknown",
+EXIT_REASONS = {
+    "done": ExitReason.COMPLETED,
+    "stopped": ExitReason.STOPPED,
+    "mates_gone": ExitReason.GANG_MEMBER_LOST,
+    "incomplete": ExitReason.GANG_INCOMPLETE,
+    "error": ExitReason.FAILED,
+    "full": ExitReason.INSUFFICIENT_CAPACITY,
+    "in_use": ExitReason.ATTEMPT_IN_USE,
+    "unknown": ExitReason.JOB_UNKNOWN,
 }
-OPS = {Op.START: "launch", Op.STOP: "halt", Op.FORGET: "clear"}
+COMMAND_KINDS = {CommandKind.START: "launch", CommandKind.STOP: "halt", CommandKind.FORGET: "clear"}
 
 
 class _Task(
@@ -95,7 +95,9 @@
         raise cbor.MalformedBodyError("status: unknown value")
     cbor.check_counts(task.attempt_number)
     job, index = split_task(task.name)
-    reason = REASONS.get(task.reason, "") if isinstance(task.reason, str) else ""
+    reason = ExitReason.UNSPECIFIED
+    if isinstance(task.reason, str):
+        reason = EXIT_REASONS.get(task.reason, ExitReason.UNSPECIFIED)
     return TaskStatus(job, index, task.attempt_number, state, reason, task.saved is True)
 
 
@@ -104,12 +106,12 @@
     slips = []
     for command in commands:
         slip: dict[str, object] = {
-            "slipKind": OPS[command.op],
+            "slipKind": COMMAND_KINDS[command.kind],
             "volume": f"{command.job}/{command.index}",
             "renewal": command.attempt_number,
         }
-        if command.op is Op.STOP:
-            slip["graceS"] = command.grace
+        if command.kind is CommandKind.STOP:
+            slip["graceS"] = command.grace_s
         slips.append(slip)
     return cbor.encode({"warrant": token, "slips": slips})
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,11 +1,12 @@
 """Small builders for the tables of cases."""
 
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import TaskState, TaskStatus, WorkerHeartbeat
+from passrock.core.job_table import JobTable
+from passrock.core.messages import ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import ZERO_RESOURCES, JobKind, JobSpec, MachineType, Priority, Resources, Team
 from passrock.core.objectives import Objective, ServiceLevelObjectives
 from passrock.core.preemption import Preemption
+from passrock.core.records import new_job_record
 from passrock.core.scheduler import Scheduler
 
 BOX = MachineType("box", Resources(16, 2, 64), 100.0, 1.0, 5.0, 1.5, 10.0, ("a", "b", "c"))
@@ -47,7 +48,7 @@
 
 
 class SchedulerHarness:
-    """A book, a fleet and a placer, without a controller."""
+    """A job table, an inventory and a scheduler, without a controller."""
 
     def __init__(self, machines=(("m1", "a", False),), page=50):
         self.job_table = JobTable(page)
@@ -63,7 +64,7 @@
 
     def job(self, number=1, at=0.0, **fields):
         self.revision += 1
-        return self.job_table.load(new_record(spec(number, **fields), at), self.revision, at, at)
+        return self.job_table.load(new_job_record(spec(number, **fields), at), self.revision, at, at)
 
     def commit(self):
         """Everything is committed."""
@@ -85,5 +86,12 @@
     return WorkerHeartbeat(machine, "box", zone, spot, incarnation, sequence, token, notice, list(tasks))
 
 
-def row(job="wk-1", index=0, attempt_number=1, state=TaskState.RUNNING, why="", saved=False):
-    return TaskStatus(job, index, attempt_number, state, why, saved)
+def task_status(
+    job="wk-1",
+    index=0,
+    attempt_number=1,
+    state=TaskState.RUNNING,
+    exit_reason=ExitReason.UNSPECIFIED,
+    saved=False,
+):
+    return TaskStatus(job, index, attempt_number, state, exit_reason, saved)
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -53,10 +53,17 @@
 from passrock.core.budget import Budget
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import Command, Op, TaskState
+from passrock.core.job_table import JobTable
+from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
-from passrock.core.records import Permit, decode_spec
+from passrock.core.records import (
+    JobRecord,
+    Permit,
+    UnreadableRecordError,
+    decode_record,
+    encode_record,
+    new_job_record,
+)
 from passrock.core.scaling import MachineCatalog, Offer
 from passrock.io.clock import use_wall_clock
 from passrock.io.cloud import CloudClient
@@ -122,8 +129,15 @@
     TaskState.RUNNING: "running",
     TaskState.SAVING: "saving",
     TaskState.EXITED: "exited",
+    ExitReason.COMPLETED: "done",
+    ExitReason.GANG_MEMBER_LOST: "peers",
+    ExitReason.GANG_INCOMPLETE: "alone",
+    ExitReason.FAILED: "error",
+    ExitReason.INSUFFICIENT_CAPACITY: "no_room",
+    ExitReason.ATTEMPT_IN_USE: "busy",
+    ExitReason.JOB_UNKNOWN: "unknown",
 }
-OPS = {"start": Op.START, "stop": Op.STOP, "forget": Op.FORGET}
+COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.FORGET}
 
 
 def flows(pairs, make=lambda value: value):
@@ -139,14 +153,14 @@
 
 def encode_job(values):
     spec, submitted, mark = values.values()
-    return msgspec.json.encode(new_record(make_spec(spec), submitted, mark))
+    return msgspec.json.encode(encode_record(new_job_record(make_spec(spec), submitted, mark)))
 
 
 def decode_job(data):
-    record = msgspec.json.decode(data)
+    record = decode_record(msgspec.json.decode(data), JobRecord)
     job = JobTable(50).load(record, 7, 100.0, 20.0)
-    assert plain(decode_spec(record["s"])) == plain(job.spec)
-    return [plain(job.spec), job.submitted, record.get("ad")]
+    assert plain(record.spec.to_spec()) == plain(job.spec)
+    return [plain(job.spec), job.submitted_at, plain(record.permit_mark)]
 
 
 def make_heartbeat(values):
@@ -209,8 +223,8 @@
 
 
 def make_command(values):
-    op, *fields = values.values()
-    return Command(OPS[op], *fields)
+    kind, *fields = values.values()
+    return Command(COMMAND_KINDS[kind], *fields)
 
 
 def make_write(values):
@@ -472,7 +486,9 @@
     """A job of two records with attempts and completed tasks in both."""
     harness = SchedulerHarness((), page=4)
     machine = harness.inventory.observe(worker_heartbeat("host-31", incarnation=6, sequence=2), BOX, 0.0)
-    job = harness.job_table.load(msgspec.json.decode(golden("records/job_array.record")), 98, 100.0, 20.0)
+    job = harness.job_table.load(
+        decode_record(msgspec.json.decode(golden("records/job_array.record")), JobRecord), 98, 100.0, 20.0
+    )
     for index, attempt_number in ((1, 21), (4, 23), (2, 22), (5, 24), (3, 25)):
         harness.job_table.start(job, index, machine, attempt_number, 0.0)
     for attempt in [attempt for attempt in job.attempts() if attempt.index in (1, 3, 4)]:
@@ -499,7 +515,9 @@
     for attempt in list(job.attempts()):
         harness.job_table.attempt_completed(attempt)
     job.page(4).mod_revision = 99
-    other = harness.job_table.load(msgspec.json.decode(golden("records/job_gang.record")), 96, 100.0, 20.0)
+    other = harness.job_table.load(
+        decode_record(msgspec.json.decode(golden("records/job_gang.record")), JobRecord), 96, 100.0, 20.0
+    )
     harness.job_table.cancel(other, 50.0)
     queue = commit_queue(state_client(http), harness.job_table)
     assert await queue.commit(queue.build(12)) and await queue.commit(queue.build(12))
@@ -671,7 +689,7 @@
 def job_values(job):
     """What the books hold of a job."""
     pages = [
-        [number, one.first, one.attempt_number, one.done, one.mod_revision]
+        [number, one.first, one.attempt_number, one.completed, one.mod_revision]
         for number, one in sorted(job.pages.items())
     ]
     attempts = [
@@ -679,7 +697,16 @@
         for attempt in job.attempts()
     ]
     at = job.cancelled_at if math.isfinite(job.cancelled_at) else None
-    return [plain(job.spec), job.submitted, job.order, job.done_count, job.cancelled, at, pages, attempts]
+    return [
+        plain(job.spec),
+        job.submitted_at,
+        job.submitted_at_monotonic,
+        job.done_count,
+        job.cancelled,
+        at,
+        pages,
+        attempts,
+    ]
 
 
 def test_a_new_leader_reads_the_golden_records(wall_clock):
@@ -852,7 +879,7 @@
             )
         finals = []
         queue = commit_queue(client, harness.job_table)
-        queue.on_final = lambda *final: finals.append(list(final))
+        queue.on_finalized = lambda *final: finals.append(list(final))
         assert await queue.commit(queue.build(12))
         return finals, job.cancelled, job.cancelled_at
 
@@ -990,7 +1017,8 @@
         for task in term.tasks:
             await asyncio.wait([task])
         if key is not None:
-            assert isinstance(term.tasks[0].exception(), KeyError)
+            unreadable_error = UnreadableRecordError if key.startswith(("p/j/", "p/t/", "p/c/")) else KeyError
+            assert isinstance(term.tasks[0].exception(), unreadable_error)
         return leadership.leading
 
     assert virtual_time.run(main()) is (key is None)
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from builders import BOX, TERM, SchedulerHarness, heartbeat, row
-from passrock.core.messages import Op, TaskState
+from builders import BOX, TERM, SchedulerHarness, heartbeat, task_status
+from passrock.core.messages import CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, Resources
 from passrock.core.preemption import stop_softly
 from passrock.core.reconciler import Reconciler
@@ -19,33 +19,44 @@
     harness.commit()
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     commands = handle(harness, reconciler, sequence=2)
-    assert [c.op for c in commands] == [Op.START] * job.attempt_count
+    assert [c.kind for c in commands] == [CommandKind.START] * job.attempt_count
     return harness, job, reconciler
 
 
-def handle(harness, reconciler, now=1.0, launch=True, **fields):
-    told = heartbeat(**fields)
-    machine = harness.inventory.observe(told, BOX, now)
-    return [] if machine is None else reconciler.handle(machine, told, now, launch)
+def handle(harness, reconciler, now=1.0, may_launch=True, **fields):
+    """The commands in answer to a heartbeat with these fields."""
+    received = heartbeat(**fields)
+    machine = harness.inventory.observe(received, BOX, now)
+    return [] if machine is None else reconciler.handle(machine, received, now, may_launch=may_launch).commands
 
 
 # What a report shows -> commands, and whether the attempt still counts as possibly there.
 REPORTS = [
-    ("running", {"sequence": 3, "tasks": [row()]}, [], True),
-    ("not listed, later report: the launch was dropped, so again", {"sequence": 3}, [Op.START], True),
+    ("running", {"sequence": 3, "tasks": [task_status()]}, [], True),
+    ("not listed, later report: the launch was dropped, so again", {"sequence": 3}, [CommandKind.START], True),
     ("an older report is nothing new", {"sequence": 1}, [], True),
     ("a later session has forgotten it", {"incarnation": 2, "sequence": 3}, [], False),
-    ("completed", {"sequence": 3, "tasks": [row(state=EXITED, why="done")]}, [], False),
-    ("stopped", {"sequence": 3, "tasks": [row(state=EXITED, why="stopped")]}, [], False),
-    ("another attempt runs there", {"sequence": 3, "tasks": [row(attempt_number=9)]}, [Op.STOP, Op.START], True),
-    ("a job nobody knows", {"sequence": 3, "tasks": [row(), row(job="wk-99")]}, [Op.STOP], True),
+    ("completed", {"sequence": 3, "tasks": [task_status(state=EXITED, exit_reason=ExitReason.COMPLETED)]}, [], False),
+    ("stopped", {"sequence": 3, "tasks": [task_status(state=EXITED, exit_reason=ExitReason.STOPPED)]}, [], False),
+    (
+        "another attempt runs there",
+        {"sequence": 3, "tasks": [task_status(attempt_number=9)]},
+        [CommandKind.STOP, CommandKind.START],
+        True,
+    ),
+    (
+        "a job nobody knows",
+        {"sequence": 3, "tasks": [task_status(), task_status(job="wk-99")]},
+        [CommandKind.STOP],
+        True,
+    ),
 ]
 
 
 @pytest.mark.parametrize(("name", "told", "ops", "there"), REPORTS, ids=[case[0] for case in REPORTS])
 def test_reports(name, told, ops, there):
     harness, job, reconciler = placed_harness()
-    assert [c.op for c in handle(harness, reconciler, **told)] == ops
+    assert [c.kind for c in handle(harness, reconciler, **told)] == ops
     assert (job.attempt_count == 1) is there
 
 
@@ -61,10 +72,23 @@
 
 def test_exits_in_reports_of_older_terms():
     """A held-back exit may be of an attempt that was started again since; completion is final."""
-    for why, there in (("alone", True), ("stopped", True), ("done", False)):
+    for exit_reason, there in (
+        (ExitReason.GANG_INCOMPLETE, True),
+        (ExitReason.STOPPED, True),
+        (ExitReason.COMPLETED, False),
+    ):
         harness, job, reconciler = placed_harness()
         next(job.attempts()).stop_grace_s = 0.0
-        assert handle(harness, reconciler, sequence=3, token=TERM - 1, tasks=[row(state=EXITED, why=why)]) == []
+        assert (
+            handle(
+                harness,
+                reconciler,
+                sequence=3,
+                token=TERM - 1,
+                tasks=[task_status(state=EXITED, exit_reason=exit_reason)],
+            )
+            == []
+        )
         assert (job.attempt_count == 1) is there
 
 
@@ -75,16 +99,16 @@
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     assert handle(harness, reconciler, sequence=2) == []
     harness.commit()
-    assert handle(harness, reconciler, sequence=3, launch=False) == []
-    assert [c.op for c in handle(harness, reconciler, sequence=4)] == [Op.START]
+    assert handle(harness, reconciler, sequence=3, may_launch=False) == []
+    assert [c.kind for c in handle(harness, reconciler, sequence=4)] == [CommandKind.START]
 
 
 def test_forget_only_what_is_committed():
     harness, _, reconciler = placed_harness()
-    done = [row(state=EXITED, why="done")]
+    done = [task_status(state=EXITED, exit_reason=ExitReason.COMPLETED)]
     assert handle(harness, reconciler, sequence=3, tasks=done) == []
     harness.commit()
-    assert [c.op for c in handle(harness, reconciler, sequence=4, tasks=done)] == [Op.FORGET]
+    assert [c.kind for c in handle(harness, reconciler, sequence=4, tasks=done)] == [CommandKind.FORGET]
 
 
 def test_gang_ends_whole_and_starts_whole():
@@ -113,12 +137,15 @@
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     handle(harness, reconciler, sequence=2)
     index = next(attempt.index for attempt in job.attempts() if attempt.machine == "m1")
-    alone = [row(index=index, state=EXITED, why="alone")]
-    assert [c.op for c in handle(harness, reconciler, sequence=3, tasks=alone)] == [Op.FORGET, Op.START]
+    alone = [task_status(index=index, state=EXITED, exit_reason=ExitReason.GANG_INCOMPLETE)]
+    assert [c.kind for c in handle(harness, reconciler, sequence=3, tasks=alone)] == [
+        CommandKind.FORGET,
+        CommandKind.START,
+    ]
     assert job.attempt_count == 2
     next(attempt for attempt in job.attempts() if attempt.machine == "m2").stop_grace_s = 0.0
     next(attempt for attempt in job.attempts() if attempt.machine == "m1").stop_grace_s = 0.0
-    assert [c.op for c in handle(harness, reconciler, sequence=4, tasks=alone)] == []
+    assert [c.kind for c in handle(harness, reconciler, sequence=4, tasks=alone)] == []
     assert job.attempt_count == 0  # this one ended, and the other was never launched
 
 
@@ -146,7 +173,7 @@
             incarnation=incarnation,
             sequence=sequence,
             token=token,
-            tasks=[row()] if listed else [],
+            tasks=[task_status()] if listed else [],
         )
         harness.inventory.machines["m1"].answered = float(step)
         harness.run(float(step))
@@ -183,9 +210,9 @@
         harness.commit()
         attempt = next(job.attempts())
         handle(harness, reconciler, machine=attempt.machine, sequence=sequence, now=float(sequence))
-        failed = [row(attempt_number=attempt.number, state=EXITED, why="error")]
+        failed = [task_status(attempt_number=attempt.number, state=EXITED, exit_reason=ExitReason.FAILED)]
         handle(harness, reconciler, machine=attempt.machine, sequence=sequence + 1, now=float(sequence), tasks=failed)
-    assert job.avoid == {"m1", "m2"} and job.not_before > 4.0  # failed on both: the job waits longer and longer
+    assert job.avoided_machines == {"m1", "m2"} and job.retry_not_before > 4.0
     assert all(machine.blocked_until > 4.0 for machine in harness.inventory.machines.values())
 
 
@@ -194,7 +221,7 @@
     attempt = harness.job_table.start(job, 0, harness.inventory.machines[machine], job.next_attempt_number(0), now)
     attempt.launch_sequence = 0
     state = harness.inventory.machines[machine]
-    failed = row(job.spec.id, 0, attempt.number, TaskState.EXITED, "error")
+    failed = task_status(job.spec.id, 0, attempt.number, TaskState.EXITED, ExitReason.FAILED)
     handle(harness, reconciler, now, machine=machine, sequence=state.sequence + 1, tasks=[failed])
 
 
@@ -205,7 +232,7 @@
     first, second, sound, other = (harness.job(number) for number in (1, 2, 3, 4))
     for now, machine in enumerate(("m1", "m2")):
         fail_on(harness, reconciler, first, machine, float(now))
-    assert first.is_suspect and first.not_before > 1.0  # it is tried again, later
+    assert first.is_suspect and first.retry_not_before > 1.0  # it is tried again, later
     blocked = harness.inventory.machines["m3"].blocked_until
     fail_on(harness, reconciler, first, "m3", 2.0)
     assert harness.inventory.machines["m3"].blocked_until == blocked  # and blocks nothing any more
@@ -221,10 +248,14 @@
 def test_stops_save_when_there_is_something_to_save():
     harness, job, reconciler = placed_harness(checkpoint_interval_s=5.0, checkpoint_save_s=3.0)
     attempt = next(job.attempts())
-    handle(harness, reconciler, sequence=3, tasks=[row()])
+    handle(harness, reconciler, sequence=3, tasks=[task_status()])
     stop_softly(attempt, 6.0)
-    assert [(c.op, c.grace) for c in handle(harness, reconciler, sequence=4, tasks=[row()])] == [(Op.STOP, 6.0)]
-    saving = [row(state=TaskState.SAVING)]
+    assert [(c.kind, c.grace_s) for c in handle(harness, reconciler, sequence=4, tasks=[task_status()])] == [
+        (CommandKind.STOP, 6.0)
+    ]
+    saving = [task_status(state=TaskState.SAVING)]
     assert handle(harness, reconciler, sequence=5, tasks=saving) == []  # a second stop would end the saving
     harness.job_table.cancel(job, 0.0)
-    assert [(c.op, c.grace) for c in handle(harness, reconciler, sequence=6, tasks=saving)] == [(Op.STOP, 0.0)]
+    assert [(c.kind, c.grace_s) for c in handle(harness, reconciler, sequence=6, tasks=saving)] == [
+        (CommandKind.STOP, 0.0)
+    ]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -3,10 +3,10 @@
 import pytest
 
 from builders import BOX, SchedulerHarness, spec
-from passrock.core.jobs import JobTable, new_record
+from passrock.core.job_table import JobTable
 from passrock.core.messages import TaskState
 from passrock.core.model import ZERO_RESOURCES, JobKind, Priority, Resources
-from passrock.core.records import tasks_per_page
+from passrock.core.records import encode_record, new_job_record, tasks_per_page
 
 EXITED = TaskState.EXITED
 
@@ -142,14 +142,14 @@
 def test_huge_array_stays_inside_record_sizes():
     size = tasks_per_page(4096)
     job_table = JobTable(size)
-    job = job_table.load(new_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
+    job = job_table.load(new_job_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     for index in job.next_waiting(3 * size):
         job_table.start(job, index, machine, job.next_attempt_number(index), 0.0)
-    job.advance()
+    job.advance_first_waiting()
     assert job.next_waiting(1) == [3 * size]
-    assert max(len(str(page.encode())) for page in job.pages.values()) < 4096 - 1000
+    assert max(len(str(encode_record(page.to_record()))) for page in job.pages.values()) < 4096 - 1000
     assert len(job.pages) == 3 + 1 or len(job.pages) == 3
     for attempt in list(job.attempts()):
         job_table.attempt_completed(attempt)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -102,7 +102,7 @@
         return observe(self, report, kind, now)
 
     def settle(self, machine, report, now, launch):
-        for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values():
+        for attempt in self.job_table.attempts_on(machine.name):
             attempt.launch_sequence = None if attempt.launch_sequence is None else -1
         return handle(self, machine, report, now, launch)
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from builders import SchedulerHarness
-from passrock.core.jobs import new_record
+from passrock.core.records import JobRecord, decode_record, encode_record, new_job_record
 from passrock.wire import users
 from standins.simulated_cluster import SimulatedCluster
 
@@ -20,24 +20,25 @@
 def test_records_keep_their_stored_form():
     described = SimulatedCluster.job(None, 412, dueS=900.0, volumes=3, bindings=["box"], branch="a")
     spec = users.parse_submission(cbor2.dumps(described))
-    assert msgspec.json.encode(new_record(spec, 12.5)) == JOB
+    assert msgspec.json.encode(encode_record(new_job_record(spec, 12.5))) == JOB
 
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    job = harness.job_table.load(msgspec.json.decode(JOB), 7, 100.0, 20.0)
+    job = harness.job_table.load(decode_record(msgspec.json.decode(JOB), JobRecord), 7, 100.0, 20.0)
     harness.job_table.start(job, 1, machine, 4, 0.0)
     harness.job_table.attempt_completed(next(job.attempts()))
     harness.job_table.start(job, 2, machine, 5, 0.0)
-    assert msgspec.json.encode(job.page(0).encode()) == TASK_PAGE
+    assert msgspec.json.encode(encode_record(job.page(0).to_record())) == TASK_PAGE
     machine.images["img"] = 2.0
     assert msgspec.json.encode(harness.inventory.encode_hints(4)) == HINTS
 
 
 def test_records_of_older_sources_are_read():
     harness = SchedulerHarness()
-    job = harness.job_table.load({**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}, 7, 100.0, 20.0)
+    stored = {**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}
+    job = harness.job_table.load(decode_record(stored, JobRecord), 7, 100.0, 20.0)
     attempt = next(job.attempts())
-    assert (job.spec.id, job.spec.deadline_s, job.submitted, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
+    assert (job.spec.id, job.spec.deadline_s, job.submitted_at, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
     assert (attempt.index, attempt.number, attempt.machine, attempt.incarnation, attempt.placed_this_term) == (
         2,
         5,
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -3,9 +3,9 @@
 import cbor2
 import pytest
 
-from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import Command, Op, TaskState
-from passrock.core.records import decode_spec, encode_spec
+from passrock.core.job_table import JobTable
+from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
+from passrock.core.records import JobSpecRecord, new_job_record
 from passrock.wire import cloud, state, users, workers
 from passrock.wire.cbor import MalformedBodyError
 from standins.simulated_cluster import SimulatedCluster
@@ -61,9 +61,15 @@
 def test_submission_and_record_round_trip():
     spec = users.parse_submission(body(unknownField=1, branch=..., bindings=["box"]))
     assert (spec.id, spec.zone, spec.types, spec.deadline_s) == ("wk-000412", None, ("box",), 900.0)
-    assert decode_spec(encode_spec(spec)) == spec
-    job = JobTable(50).load(new_record(spec, 12.5), 7, 100.0, 20.0)
-    assert (job.spec, job.submitted, job.page(0).mod_revision, job.waiting, job.order) == (spec, 12.5, 7, 1, 92.5)
+    assert JobSpecRecord.of(spec).to_spec() == spec
+    job = JobTable(50).load(new_job_record(spec, 12.5), 7, 100.0, 20.0)
+    assert (job.spec, job.submitted_at, job.page(0).mod_revision, job.waiting, job.submitted_at_monotonic) == (
+        spec,
+        12.5,
+        7,
+        1,
+        92.5,
+    )
 
 
 REPORT = {
@@ -89,13 +95,13 @@
         41,
         None,
     )
-    row = report.tasks[0]
-    assert (row.job, row.index, row.attempt_number, row.state, row.why, row.saved) == (
+    task = report.tasks[0]
+    assert (task.job, task.index, task.attempt_number, task.state, task.exit_reason, task.saved) == (
         "wk-1",
         3,
         2,
         TaskState.EXITED,
-        "stopped",
+        ExitReason.STOPPED,
         True,
     )
 
@@ -126,9 +132,9 @@
 
 def test_answers_to_workers():
     commands = [
-        Command(Op.START, "wk-1", 0, 3),
-        Command(Op.STOP, "wk-2", 1, 1, 10.0),
-        Command(Op.FORGET, "wk-3", 0, 1),
+        Command(CommandKind.START, "wk-1", 0, 3),
+        Command(CommandKind.STOP, "wk-2", 1, 1, 10.0),
+        Command(CommandKind.FORGET, "wk-3", 0, 1),
     ]
     assert cbor2.loads(workers.answer(41, commands)) == {
         "warrant": 41,
