--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-EPSILON = 1e-6
+EPSILON = 1e-6  # sums of amounts of resources may differ by rounding errors
 
 
 class JobKind(StrEnum):
@@ -95,7 +95,7 @@
         """Whether any capacity is promised to the team."""
         return self.cpus > 0 or self.gpus > 0
 
-    def within_limit(self, used: Resources) -> bool:
+    def within_quota(self, used: Resources) -> bool:
         """Whether ``used`` stays within the team's quota."""
         return not (
             (self.cpus_max > 0 and used.cpus > self.cpus_max + EPSILON)
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -89,7 +89,7 @@
     planned = used.get(team.name, ZERO_RESOURCES)
 
     def is_over(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.resources.scaled(count))
+        return not team.within_quota(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
         return 0 if is_over(job.waiting) else job.waiting
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -205,7 +205,7 @@
         if team is None:
             return False  # its limit isn't known since the team was taken out of the settings; the job stays known
         used = self.job_table.usage.get(team.name, ZERO_RESOURCES) + self.orphan_usage.get(team.name, ZERO_RESOURCES)
-        return team.within_limit(used + job.spec.resources.scaled(count))
+        return team.within_quota(used + job.spec.resources.scaled(count))
 
     def cost(self, job: Job, machine: Machine) -> float:
         """How dear this machine is for a task of the job."""
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -16,7 +16,7 @@
     ):
         return "a task fits no allowed machine type"
     at_once = 1 if spec.kind is JobKind.ARRAY else spec.tasks
-    if not team.within_limit(spec.resources.scaled(at_once)):
+    if not team.within_quota(spec.resources.scaled(at_once)):
         return "more than the team's limit"
     if spec.single_zone and spec.spread_zones and spec.tasks > 1 and spec.kind is not JobKind.ARRAY:
         return "one zone and spread exclude each other"
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -1,4 +1,4 @@
-"""Reports against the records: what counts as evidence, and what workers are told."""
+"""Reconciliation of heartbeats with the job table: what counts as evidence, and what workers are commanded."""
 
 import pytest
 
@@ -8,18 +8,16 @@
 from passrock.core.preemption import stop_softly
 from passrock.core.reconciler import Reconciler
 
-EXITED = TaskState.EXITED
-
 
 def placed_harness(**fields):
-    """One job placed and committed on m1, its launch sent in answer to report 1."""
+    """One job placed and committed on m1, its launch sent in answer to heartbeat 2."""
     harness = SchedulerHarness()
     job = harness.job(**fields)
     harness.run()
     harness.commit()
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     commands = handle(harness, reconciler, sequence=2)
-    assert [c.kind for c in commands] == [CommandKind.START] * job.attempt_count
+    assert kinds(commands) == [CommandKind.START] * job.attempt_count
     return harness, job, reconciler
 
 
@@ -30,14 +28,22 @@
     return [] if machine is None else reconciler.handle(machine, received, now, may_launch=may_launch).commands
 
 
-# What a report shows -> commands, and whether the attempt still counts as possibly there.
-REPORTS = [
+def kinds(commands):
+    return [command.kind for command in commands]
+
+
+def exited(exit_reason, **fields):
+    return task_status(state=TaskState.EXITED, exit_reason=exit_reason, **fields)
+
+
+# What a heartbeat shows -> commands, and whether the attempt still counts as possibly on the machine.
+HEARTBEATS = [
     ("running", {"sequence": 3, "tasks": [task_status()]}, [], True),
-    ("not listed, later report: the launch was dropped, so again", {"sequence": 3}, [CommandKind.START], True),
-    ("an older report is nothing new", {"sequence": 1}, [], True),
-    ("a later session has forgotten it", {"incarnation": 2, "sequence": 3}, [], False),
-    ("completed", {"sequence": 3, "tasks": [task_status(state=EXITED, exit_reason=ExitReason.COMPLETED)]}, [], False),
-    ("stopped", {"sequence": 3, "tasks": [task_status(state=EXITED, exit_reason=ExitReason.STOPPED)]}, [], False),
+    ("not listed in a later one: the launch was dropped, so again", {"sequence": 3}, [CommandKind.START], True),
+    ("an older heartbeat is nothing new", {"sequence": 1}, [], True),
+    ("a later incarnation has forgotten it", {"incarnation": 2, "sequence": 3}, [], False),
+    ("completed", {"sequence": 3, "tasks": [exited(ExitReason.COMPLETED)]}, [], False),
+    ("stopped", {"sequence": 3, "tasks": [exited(ExitReason.STOPPED)]}, [], False),
     (
         "another attempt runs there",
         {"sequence": 3, "tasks": [task_status(attempt_number=9)]},
@@ -45,7 +51,7 @@
         True,
     ),
     (
-        "a job nobody knows",
+        "an unknown job",
         {"sequence": 3, "tasks": [task_status(), task_status(job="wk-99")]},
         [CommandKind.STOP],
         True,
@@ -53,15 +59,17 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "told", "ops", "there"), REPORTS, ids=[case[0] for case in REPORTS])
-def test_reports(name, told, ops, there):
+@pytest.mark.parametrize(
+    ("name", "fields", "commands", "is_recorded"), HEARTBEATS, ids=[case[0] for case in HEARTBEATS]
+)
+def test_evidence_of_a_heartbeat(name, fields, commands, is_recorded):
     harness, job, reconciler = placed_harness()
-    assert [c.kind for c in handle(harness, reconciler, **told)] == ops
-    assert (job.attempt_count == 1) is there
+    assert kinds(handle(harness, reconciler, **fields)) == commands
+    assert (job.attempt_count == 1) is is_recorded
 
 
-def test_absence_needs_a_report_of_this_term():
-    """A held-back report of an older term proves nothing: a former leader may have launched after it."""
+def test_absence_needs_a_heartbeat_of_this_term():
+    """A delayed heartbeat of an older term proves nothing: a former leader may have launched after it."""
     harness, job, reconciler = placed_harness()
     harness.job_table.cancel(job, 0.0)
     handle(harness, reconciler, sequence=3, token=TERM - 1)
@@ -70,9 +78,9 @@
     assert job.attempt_count == 0 and "wk-1" in harness.job_table.finalizing
 
 
-def test_exits_in_reports_of_older_terms():
-    """A held-back exit may be of an attempt that was started again since; completion is final."""
-    for exit_reason, there in (
+def test_exits_in_heartbeats_of_older_terms():
+    """A delayed exit may be of an attempt that was started again since; completion is final."""
+    for exit_reason, is_recorded in (
         (ExitReason.GANG_INCOMPLETE, True),
         (ExitReason.STOPPED, True),
         (ExitReason.COMPLETED, False),
@@ -85,14 +93,14 @@
                 reconciler,
                 sequence=3,
                 token=TERM - 1,
-                tasks=[task_status(state=EXITED, exit_reason=exit_reason)],
+                tasks=[exited(exit_reason)],
             )
             == []
         )
-        assert (job.attempt_count == 1) is there
+        assert (job.attempt_count == 1) is is_recorded
 
 
-def test_no_launch_before_the_commit_nor_without_firm_leadership():
+def test_no_launch_before_the_commit_nor_without_a_held_lease():
     harness = SchedulerHarness()
     harness.job()
     harness.run()
@@ -100,18 +108,18 @@
     assert handle(harness, reconciler, sequence=2) == []
     harness.commit()
     assert handle(harness, reconciler, sequence=3, may_launch=False) == []
-    assert [c.kind for c in handle(harness, reconciler, sequence=4)] == [CommandKind.START]
+    assert kinds(handle(harness, reconciler, sequence=4)) == [CommandKind.START]
 
 
 def test_forget_only_what_is_committed():
     harness, _, reconciler = placed_harness()
-    done = [task_status(state=EXITED, exit_reason=ExitReason.COMPLETED)]
+    done = [exited(ExitReason.COMPLETED)]
     assert handle(harness, reconciler, sequence=3, tasks=done) == []
     harness.commit()
-    assert [c.kind for c in handle(harness, reconciler, sequence=4, tasks=done)] == [CommandKind.FORGET]
+    assert kinds(handle(harness, reconciler, sequence=4, tasks=done)) == [CommandKind.FORGET]
 
 
-def test_gang_ends_whole_and_starts_whole():
+def test_gang_stops_and_starts_as_a_whole():
     harness = SchedulerHarness([(f"m{i}", "a", False) for i in range(3)])
     job = harness.job(kind=JobKind.GANG, tasks=3, resources=Resources(10, 2, 50))
     assert len(harness.run()) == 3
@@ -121,7 +129,7 @@
     first = next(job.attempts())
     harness.job_table.attempt_lost(first, 5.0)
     assert [attempt.stop_grace_s for attempt in job.attempts()] == [0.0, 0.0]
-    assert harness.run(6.0) == []  # not before every task of the old attempt is gone
+    assert harness.run(6.0) == []  # not before every task of the old attempt has ended
     for attempt in list(job.attempts()):
         harness.job_table.attempt_lost(attempt, 7.0)
     harness.refresh(7.0)
@@ -129,7 +137,7 @@
     assert {attempt.number for attempt in job.attempts()} == {2}
 
 
-def test_impatient_gang_task_waits_on():
+def test_gang_task_that_gave_up_waiting_starts_again_in_place():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     job = harness.job(kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50))
     harness.run()
@@ -137,35 +145,37 @@
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     handle(harness, reconciler, sequence=2)
     index = next(attempt.index for attempt in job.attempts() if attempt.machine == "m1")
-    alone = [task_status(index=index, state=EXITED, exit_reason=ExitReason.GANG_INCOMPLETE)]
-    assert [c.kind for c in handle(harness, reconciler, sequence=3, tasks=alone)] == [
+    gave_up = [exited(ExitReason.GANG_INCOMPLETE, index=index)]
+    assert kinds(handle(harness, reconciler, sequence=3, tasks=gave_up)) == [
         CommandKind.FORGET,
         CommandKind.START,
     ]
     assert job.attempt_count == 2
     next(attempt for attempt in job.attempts() if attempt.machine == "m2").stop_grace_s = 0.0
     next(attempt for attempt in job.attempts() if attempt.machine == "m1").stop_grace_s = 0.0
-    assert [c.kind for c in handle(harness, reconciler, sequence=4, tasks=alone)] == []
+    assert kinds(handle(harness, reconciler, sequence=4, tasks=gave_up)) == []
     assert job.attempt_count == 0  # this one ended, and the other was never launched
 
 
-# reports in a row (session, seq, token, whether the launch is listed), whether the machine may be used after them
-HEARING = [
-    ("a first report shows no token of this term", [(1, 1, 0, False)], False),
+# successive heartbeats (incarnation, sequence, token, whether the launch is listed) -> whether the machine is usable
+ACKNOWLEDGEMENTS = [
+    ("a first heartbeat shows no token of this term", [(1, 1, 0, False)], False),
     ("the next one does", [(1, 1, 0, False), (1, 2, TERM, False)], True),
-    ("a new session though it was answered, once", [(1, 1, TERM, False), (2, 2, TERM, False)], True),
+    ("a new incarnation though it was answered, once", [(1, 1, TERM, False), (2, 2, TERM, False)], True),
     ("and again", [(1, 1, TERM, False), (2, 2, TERM, False), (3, 3, TERM, False)], False),
     ("launches without effect", [(1, n, TERM, False) for n in (1, 2, 3, 4)], False),
     ("a launch that took effect at last", [(1, 1, TERM, False), (1, 2, TERM, False), (1, 3, TERM, True)], True),
 ]
 
 
-@pytest.mark.parametrize(("name", "told", "used"), HEARING, ids=[case[0] for case in HEARING])
-def test_only_machines_that_hear_are_used(name, told, used):
+@pytest.mark.parametrize(
+    ("name", "heartbeats", "is_usable"), ACKNOWLEDGEMENTS, ids=[case[0] for case in ACKNOWLEDGEMENTS]
+)
+def test_only_machines_that_answers_reach_are_used(name, heartbeats, is_usable):
     harness = SchedulerHarness([])
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     harness.job()
-    for step, (incarnation, sequence, token, listed) in enumerate(told):
+    for step, (incarnation, sequence, token, is_listed) in enumerate(heartbeats):
         handle(
             harness,
             reconciler,
@@ -173,45 +183,46 @@
             incarnation=incarnation,
             sequence=sequence,
             token=token,
-            tasks=[task_status()] if listed else [],
+            tasks=[task_status()] if is_listed else [],
         )
         harness.inventory.machines["m1"].answered = float(step)
         harness.run(float(step))
         harness.commit()
-    assert harness.inventory.usable(harness.inventory.machines["m1"], float(len(told))) is used
+    assert harness.inventory.usable(harness.inventory.machines["m1"], float(len(heartbeats))) is is_usable
 
 
 @pytest.mark.parametrize(
-    ("answered", "fenced", "now", "up", "over"),
+    ("answered", "fenced", "now", "up", "is_expired"),
     [
         (0.0, None, 100.0, True, False),
         (0.0, 0.0, 10.5, True, False),
         (0.0, 0.0, 11.1, True, True),
         (0.0, 50.0, 60.0, True, False),
-        # cut off across a takeover: its tasks, and the mates of its gangs, once waited until it was deleted
+        # cut off across a failover: its tasks, and the other members of its gangs, once waited until it was deleted
         (0.0, 2.0, 11.1, False, False),
         (0.0, 2.0, 13.1, False, True),
     ],
 )
-def test_lease_evidence(answered, fenced, now, up, over):
+def test_lease_evidence(answered, fenced, now, up, is_expired):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     machine.answered, machine.up = answered, up
-    assert harness.inventory.lease_expired(machine, now, fenced) is over
+    assert harness.inventory.lease_expired(machine, now, fenced) is is_expired
 
 
-def test_faulty_machine_or_faulty_job():
+def test_a_job_that_fails_on_several_machines_is_retried_later():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     job = harness.job()
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     for sequence in (2, 4):
-        harness.refresh(float(sequence))
-        harness.run(float(sequence))
+        now = float(sequence)
+        harness.refresh(now)
+        harness.run(now)
         harness.commit()
         attempt = next(job.attempts())
-        handle(harness, reconciler, machine=attempt.machine, sequence=sequence, now=float(sequence))
-        failed = [task_status(attempt_number=attempt.number, state=EXITED, exit_reason=ExitReason.FAILED)]
-        handle(harness, reconciler, machine=attempt.machine, sequence=sequence + 1, now=float(sequence), tasks=failed)
+        handle(harness, reconciler, now, machine=attempt.machine, sequence=sequence)
+        failed = [exited(ExitReason.FAILED, attempt_number=attempt.number)]
+        handle(harness, reconciler, now, machine=attempt.machine, sequence=sequence + 1, tasks=failed)
     assert job.avoided_machines == {"m1", "m2"} and job.retry_not_before > 4.0
     assert all(machine.blocked_until > 4.0 for machine in harness.inventory.machines.values())
 
@@ -220,12 +231,12 @@
     """One of the job's tasks is started on a machine and fails there."""
     attempt = harness.job_table.start(job, 0, harness.inventory.machines[machine], job.next_attempt_number(0), now)
     attempt.launch_sequence = 0
-    state = harness.inventory.machines[machine]
-    failed = task_status(job.spec.id, 0, attempt.number, TaskState.EXITED, ExitReason.FAILED)
-    handle(harness, reconciler, now, machine=machine, sequence=state.sequence + 1, tasks=[failed])
+    sequence = harness.inventory.machines[machine].sequence + 1
+    failed = exited(ExitReason.FAILED, job=job.spec.id, attempt_number=attempt.number)
+    handle(harness, reconciler, now, machine=machine, sequence=sequence, tasks=[failed])
 
 
-def test_a_faulty_job_is_told_from_a_faulty_machine():
+def test_a_faulty_job_is_distinguished_from_a_faulty_machine():
     """Machines on which two jobs had failed were replaced, also where both jobs fail wherever they start."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False), ("m3", "a", False)])
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
@@ -245,17 +256,19 @@
     assert harness.job_table.failures_against(m1) == 2
 
 
-def test_stops_save_when_there_is_something_to_save():
+def test_a_stopped_task_gets_time_to_save_a_checkpoint():
     harness, job, reconciler = placed_harness(checkpoint_interval_s=5.0, checkpoint_save_s=3.0)
     attempt = next(job.attempts())
-    handle(harness, reconciler, sequence=3, tasks=[task_status()])
+    running, saving = [task_status()], [task_status(state=TaskState.SAVING)]
+
+    def stops(sequence, tasks):
+        return [
+            (command.kind, command.grace_s) for command in handle(harness, reconciler, sequence=sequence, tasks=tasks)
+        ]
+
+    handle(harness, reconciler, sequence=3, tasks=running)
     stop_softly(attempt, 6.0)
-    assert [(c.kind, c.grace_s) for c in handle(harness, reconciler, sequence=4, tasks=[task_status()])] == [
-        (CommandKind.STOP, 6.0)
-    ]
-    saving = [task_status(state=TaskState.SAVING)]
-    assert handle(harness, reconciler, sequence=5, tasks=saving) == []  # a second stop would end the saving
+    assert stops(4, running) == [(CommandKind.STOP, 6.0)]
+    assert stops(5, saving) == []  # a second stop would end the saving
     harness.job_table.cancel(job, 0.0)
-    assert [(c.kind, c.grace_s) for c in handle(harness, reconciler, sequence=6, tasks=saving)] == [
-        (CommandKind.STOP, 0.0)
-    ]
+    assert stops(6, saving) == [(CommandKind.STOP, 0.0)]
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -107,7 +107,7 @@
 
 
 def test_limits_of_zero_are_none():
-    assert Team("t", 0, 0, 0, 0).within_limit(Resources(1e6, 1e6, 0))
+    assert Team("t", 0, 0, 0, 0).within_quota(Resources(1e6, 1e6, 0))
     assert not Team("t", 0, 0, 0, 0).within_guarantee(Resources(1, 0, 0))
 
 
