--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -10,95 +10,23 @@
 import asyncio
 from collections.abc import Callable
 
-import msgspec
-
 from passrock.controller import keys
-from passrock.core.job import Job, TaskPage
+from passrock.controller.record_transaction import WRITES_PER_FINALIZATION, RecordTransaction
+from passrock.core.job import Job
 from passrock.core.job_table import JobTable
-from passrock.core.records import (
-    ATTEMPT_BYTES,
-    CANCELLED,
-    DONE,
-    CancellationRecord,
-    FinalRecord,
-    JobRecord,
-    decode_record,
-    encode_record,
-)
+from passrock.core.records import ATTEMPT_BYTES, CancellationRecord, FinalRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
 from passrock.logs import debug, info
-from passrock.wire.state import Delete, Put, Write
 
 RETRY_S = 0.2
 RECORD_BYTES = 700  # a record beside its attempts
 TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
 SHORTEST_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
-WRITES_PER_FINALIZATION = 3  # a job's record and its cancellation are deleted, its final record is put
 SUBMISSION_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node,
 SUBMISSION_WRITES = 2.0  # and so many at the least
 
 
-class PageWrite(msgspec.Struct, frozen=True):
-    """A page in a transaction, with the version of it that the transaction writes."""
-
-    job: Job
-    number: int
-    page: TaskPage
-    version: int
-
-
-class Finalization(msgspec.Struct, frozen=True):
-    """A job that a transaction ends, with its final status."""
-
-    job: Job
-    status: str
-
-
-class Transaction(msgspec.Struct):
-    """Conditions and writes of one transaction, and what it will have committed.
-
-    Attributes:
-        conditions: the modification revision that each key has to have; 0 for none.
-        orphaned_keys: records that it deletes since their job has ended.
-    """
-
-    conditions: dict[str, int]
-    writes: list[Write] = msgspec.field(default_factory=list)
-    page_writes: list[PageWrite] = msgspec.field(default_factory=list)
-    finalizations: list[Finalization] = msgspec.field(default_factory=list)
-    orphaned_keys: list[str] = msgspec.field(default_factory=list)
-
-    def add_page(self, job: Job, number: int) -> None:
-        """Write one page of a job's tasks."""
-        page = job.pages[number]
-        page_record = page.to_record()
-        record = JobRecord.of(job.spec, job.submitted_at, page_record) if number == 0 else page_record
-        key = keys.task_page(job.spec.id, number)
-        self.conditions[key] = page.mod_revision
-        self.writes.append(Put(key, encode_record(record)))
-        self.page_writes.append(PageWrite(job, number, page, page.version))
-
-    def add_finalization(self, job: Job) -> None:
-        """Replace a job's record by its final one; a job counts as done only if no cancellation was committed."""
-        job_id = job.spec.id
-        status = CANCELLED if job.cancelled else DONE
-        self.conditions[keys.job(job_id)] = job.page(0).mod_revision
-        self.conditions[keys.final(job_id)] = 0
-        final = FinalRecord(status, job.spec.tasks)
-        self.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), encode_record(final))]
-        if job.cancelled:
-            self.writes.append(Delete(keys.cancel(job_id)))
-        else:
-            self.conditions[keys.cancel(job_id)] = 0
-        self.finalizations.append(Finalization(job, status))
-
-    def add_orphan_deletion(self, key: str) -> None:
-        """Delete a record that a finished job left behind; it needs no condition, since its key isn't used again."""
-        self.writes.append(Delete(key))
-        self.orphaned_keys.append(key)
-
-
 class CommitQueue:
     """Writes the changed records, under the condition that this node still leads.
 
@@ -168,25 +96,25 @@
             await asyncio.sleep(max(SHORTEST_SLEEP_S, min((least - left) / budget.rate, turn - now)))
         return min(self.txn_ops, int(left))
 
-    def build(self, limit: int) -> Transaction:
+    def build(self, limit: int) -> RecordTransaction:
         """The next transaction of up to ``limit`` writes, inside the limit on its size.
 
         Jobs that are over go first; orphaned records are deleted when nothing more urgent is left.
         """
-        transaction = Transaction({keys.LEADER: self.leader_revision})
+        transaction = RecordTransaction({keys.LEADER: self.leader_revision})
         self._add_finalizations(transaction, limit)
         self._add_pages(transaction, limit)
         while self.orphaned_keys and len(transaction.writes) < limit and not transaction.finalizations:
             transaction.add_orphan_deletion(self.orphaned_keys.pop())
         return transaction
 
-    def _add_finalizations(self, transaction: Transaction, limit: int) -> None:
+    def _add_finalizations(self, transaction: RecordTransaction, limit: int) -> None:
         for job_id in self.job_table.finalizing:
             if len(transaction.writes) + WRITES_PER_FINALIZATION > limit:
                 break
             transaction.add_finalization(self.job_table.jobs[job_id])
 
-    def _add_pages(self, transaction: Transaction, limit: int) -> None:
+    def _add_pages(self, transaction: RecordTransaction, limit: int) -> None:
         finalized = {finalization.job.spec.id for finalization in transaction.finalizations}
         bytes_left = TRANSACTION_BYTES
         for job_id, number in self.job_table.uncommitted:
@@ -198,7 +126,7 @@
             transaction.add_page(job, number)
             bytes_left -= RECORD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
 
-    async def commit(self, transaction: Transaction) -> bool:
+    async def commit(self, transaction: RecordTransaction) -> bool:
         """Carry out one transaction; False when it has to be tried again later."""
         try:
             result = await self.state.commit(transaction.conditions, transaction.writes)
@@ -218,7 +146,7 @@
             return False
         return await self._refresh_revisions(transaction)
 
-    def _committed(self, transaction: Transaction, revision: int) -> None:
+    def _committed(self, transaction: RecordTransaction, revision: int) -> None:
         for write in transaction.page_writes:
             page = write.page
             page.mod_revision = revision
@@ -239,7 +167,7 @@
         self.job_table.remove(job)
         self.on_finalized(job.spec.id, status)
 
-    async def _refresh_revisions(self, transaction: Transaction) -> bool:
+    async def _refresh_revisions(self, transaction: RecordTransaction) -> bool:
         """Read the revisions again after a conflict or an unknown outcome.
 
         Only our own writes can have come between. What was not confirmed stays uncommitted and is written again
--- /dev/null
+++ b/src/passrock/controller/record_transaction.py
@@ -0,0 +1,72 @@
+"""One transaction of the commit queue: its conditions, its writes, and what will be committed with it."""
+
+from __future__ import annotations
+
+import msgspec
+
+from passrock.controller import keys
+from passrock.core.job import Job, TaskPage
+from passrock.core.records import CANCELLED, DONE, FinalRecord, JobRecord, encode_record
+from passrock.wire.state import Delete, Put, Write
+
+WRITES_PER_FINALIZATION = 3  # a job's record and its cancellation are deleted, its final record is put
+
+
+class PageWrite(msgspec.Struct, frozen=True):
+    """A page in a transaction, with the version of it that the transaction writes."""
+
+    job: Job
+    number: int
+    page: TaskPage
+    version: int
+
+
+class Finalization(msgspec.Struct, frozen=True):
+    """A job that a transaction ends, with its final status."""
+
+    job: Job
+    status: str
+
+
+class RecordTransaction(msgspec.Struct):
+    """Conditions and writes of one transaction, and what it will have committed.
+
+    Attributes:
+        conditions: the modification revision that each key has to have; 0 for none.
+        orphaned_keys: records that it deletes since their job has ended.
+    """
+
+    conditions: dict[str, int]
+    writes: list[Write] = msgspec.field(default_factory=list)
+    page_writes: list[PageWrite] = msgspec.field(default_factory=list)
+    finalizations: list[Finalization] = msgspec.field(default_factory=list)
+    orphaned_keys: list[str] = msgspec.field(default_factory=list)
+
+    def add_page(self, job: Job, number: int) -> None:
+        """Write one page of a job's tasks."""
+        page = job.pages[number]
+        page_record = page.to_record()
+        record = JobRecord.of(job.spec, job.submitted_at, page_record) if number == 0 else page_record
+        key = keys.task_page(job.spec.id, number)
+        self.conditions[key] = page.mod_revision
+        self.writes.append(Put(key, encode_record(record)))
+        self.page_writes.append(PageWrite(job, number, page, page.version))
+
+    def add_finalization(self, job: Job) -> None:
+        """Replace a job's record by its final one; a job counts as done only if no cancellation was committed."""
+        job_id = job.spec.id
+        status = CANCELLED if job.cancelled else DONE
+        self.conditions[keys.job(job_id)] = job.page(0).mod_revision
+        self.conditions[keys.final(job_id)] = 0
+        final = FinalRecord(status, job.spec.tasks)
+        self.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), encode_record(final))]
+        if job.cancelled:
+            self.writes.append(Delete(keys.cancel(job_id)))
+        else:
+            self.conditions[keys.cancel(job_id)] = 0
+        self.finalizations.append(Finalization(job, status))
+
+    def add_orphan_deletion(self, key: str) -> None:
+        """Delete a record that a finished job left behind; it needs no condition, since its key isn't used again."""
+        self.writes.append(Delete(key))
+        self.orphaned_keys.append(key)
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -5,15 +5,11 @@
 import msgspec
 
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.job import Job, TaskAttempt, TaskKey
+from passrock.core.job import TaskAttempt, TaskKey
 from passrock.core.job_table import JobTable
 from passrock.core.messages import Command, CommandKind, ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import ZERO_RESOURCES, Resources
-
-FAILURE_BACKOFF_S = 2.0  # doubled with each failure
-FAILURE_BACKOFF_DOUBLINGS = 6
-FAILURE_BACKOFF_LIMIT_S = 60.0
-REFUSAL_BACKOFF_REPORTS = 2  # heartbeat intervals until a refused start is tried again
+from passrock.core.task_exits import record_exit
 
 
 class TaskExit(msgspec.Struct, frozen=True):
@@ -205,7 +201,9 @@
             if evidence.may_launch and _may_wait_on(attempt, task):
                 self._restart_in_place(attempt, task, evidence, result)
                 return
-            self._record_exit(attempt, task, evidence, result)
+            result.changed = True
+            result.exits.append(TaskExit(attempt, task.exit_reason, task.saved))
+            record_exit(attempt, task.exit_reason, evidence.machine, self.job_table, self.inventory, evidence.now)
         if self.job_table.task_committed(task.job, task.index) and evidence.may_launch:
             result.commands.append(_command(CommandKind.FORGET, task))
 
@@ -217,41 +215,6 @@
         attempt.state = None
         result.commands += [_command(CommandKind.FORGET, task), _command(CommandKind.START, task)]
 
-    def _record_exit(
-        self, attempt: TaskAttempt, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
-    ) -> None:
-        job, machine, now = attempt.job, evidence.machine, evidence.now
-        result.changed = True
-        result.exits.append(TaskExit(attempt, task.exit_reason, task.saved))
-        retry_at = now + self.inventory.report_s * REFUSAL_BACKOFF_REPORTS
-        match task.exit_reason:
-            case ExitReason.COMPLETED:
-                machine.failed_jobs.pop(job.spec.id, None)
-                job.consecutive_failures = 0
-                self.job_table.attempt_completed(attempt)
-                return
-            case ExitReason.FAILED:
-                self._record_failure(job, machine, now)
-            case ExitReason.INSUFFICIENT_CAPACITY | ExitReason.ATTEMPT_IN_USE:
-                machine.blocked_until = retry_at
-            case ExitReason.JOB_UNKNOWN:
-                job.retry_not_before = retry_at
-        self.job_table.attempt_lost(attempt, now)
-
-    def _record_failure(self, job: Job, machine: Machine, now: float) -> None:
-        """A task failed: mostly the machine is at fault, but a job may fail wherever it is started.
-
-        A suspect job doesn't block machines: one faulty array once blocked every machine that it tried.
-        """
-        if not job.is_suspect:
-            machine.blocked_until = max(machine.blocked_until, now + self.inventory.lease_s)
-        machine.failed_jobs[job.spec.id] = now
-        job.avoided_machines.add(machine.name)
-        job.consecutive_failures += 1
-        if len(job.avoided_machines) > 1:
-            backoff = FAILURE_BACKOFF_S * 2 ** min(job.consecutive_failures, FAILURE_BACKOFF_DOUBLINGS)
-            job.retry_not_before = now + min(backoff, FAILURE_BACKOFF_LIMIT_S)
-
 
 def _command(kind: CommandKind, task: TaskStatus, grace_s: float = 0.0) -> Command:
     return Command(kind, task.job, task.index, task.attempt_number, grace_s)
--- /dev/null
+++ b/src/passrock/core/task_exits.py
@@ -0,0 +1,54 @@
+"""What a task's exit leads to: completion, or a retry that spares what seems faulty, the machine or the job."""
+
+from __future__ import annotations
+
+from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.job import Job, TaskAttempt
+from passrock.core.job_table import JobTable
+from passrock.core.messages import ExitReason
+
+FAILURE_BACKOFF_S = 2.0  # doubled with each failure
+FAILURE_BACKOFF_DOUBLINGS = 6
+FAILURE_BACKOFF_LIMIT_S = 60.0
+REFUSAL_BACKOFF_HEARTBEATS = 2  # heartbeat intervals until a refused start is tried again
+
+
+def record_exit(
+    attempt: TaskAttempt,
+    reason: ExitReason,
+    machine: Machine,
+    job_table: JobTable,
+    inventory: MachineInventory,
+    now: float,
+) -> None:
+    """Enter the exit of a recorded attempt; unless it has completed, its task waits again."""
+    job = attempt.job
+    retry_refused_at = now + inventory.report_s * REFUSAL_BACKOFF_HEARTBEATS
+    match reason:
+        case ExitReason.COMPLETED:
+            machine.failed_jobs.pop(job.spec.id, None)
+            job.consecutive_failures = 0
+            job_table.attempt_completed(attempt)
+            return
+        case ExitReason.FAILED:
+            _record_failure(job, machine, inventory, now)
+        case ExitReason.INSUFFICIENT_CAPACITY | ExitReason.ATTEMPT_IN_USE:
+            machine.blocked_until = retry_refused_at
+        case ExitReason.JOB_UNKNOWN:
+            job.retry_not_before = retry_refused_at
+    job_table.attempt_lost(attempt, now)
+
+
+def _record_failure(job: Job, machine: Machine, inventory: MachineInventory, now: float) -> None:
+    """A task failed: mostly the machine is at fault, but a job may fail wherever it is started.
+
+    A suspect job doesn't block machines: one faulty array once blocked every machine that it tried.
+    """
+    if not job.is_suspect:
+        machine.blocked_until = max(machine.blocked_until, now + inventory.lease_s)
+    machine.failed_jobs[job.spec.id] = now
+    job.avoided_machines.add(machine.name)
+    job.consecutive_failures += 1
+    if len(job.avoided_machines) > 1:
+        backoff = FAILURE_BACKOFF_S * 2 ** min(job.consecutive_failures, FAILURE_BACKOFF_DOUBLINGS)
+        job.retry_not_before = now + min(backoff, FAILURE_BACKOFF_LIMIT_S)
