--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -179,7 +179,7 @@
             self.store,
             outcomes,
             self.report,
-            term.commit_queue.delay,
+            term.commit_queue.estimated_delay_s,
         )
         term.evaluation_loop.subscribe(dispatch.evaluated)
         self.dispatch = dispatch
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -12,7 +12,8 @@
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.leadership import Leadership
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.job import Job, TaskAttempt
+from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
 from passrock.core.preemption import Preemption, stop_softly
 from passrock.core.scheduler import Scheduler
@@ -129,14 +130,15 @@
         for job in queue:
             if not self.preemption.displaces(job):
                 continue
-            early = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
+            is_new = now - job.submitted_at_monotonic < self.settings.report_s
+            early = is_new and job.spec.priority is not Priority.PRODUCTION
             for victim in self.preemption.make_room(job, now, early):
                 self._stop(victim, job, now)
 
     def _stop(self, victim: TaskAttempt, job: Job, now: float) -> None:
         info("task_preempted", job=victim.job.spec.id, task=victim.index, machine=victim.machine, by=job.spec.id)
         stop_softly(victim, self.settings.gang_peer_s)
-        if self.job_table.is_unlaunched(victim):  # no answer has carried its launch: the capacity is free at once
+        if victim.is_unlaunched:  # no answer has carried its launch: the capacity is free at once
             self.job_table.attempt_lost(victim, now)
             self.evaluations.request()
         machine = self.inventory.machines.get(victim.machine)
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -20,7 +20,7 @@
 from passrock.controller.state_events import StateEvents
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption
 from passrock.core.records import tasks_per_page
@@ -88,9 +88,9 @@
             self.job_table,
             leadership.leader_revision,
             settings.txn_ops,
-            on_final=self.replica.note_final,
-            on_commit=self.evaluations.progressed,
-            on_lost=lambda: leadership.step_down("leader key lost"),
+            on_finalized=self.replica.note_final,
+            on_committed=self.evaluations.progressed,
+            on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(settings, state, cloud, self.catalog, self.inventory, leadership)
         self.rounds = BindingRounds(
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -10,8 +10,9 @@
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.record_loader import confirmed_at
 from passrock.core.cancellations import Cancellations
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
+from passrock.core.records import JobRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.logs import info
 from passrock.wire.state import Entry
@@ -48,12 +49,13 @@
 
     def _job_changed(self, job_id: str, entry: Entry | None) -> None:
         if entry is None:
-            self.commit_queue.removed.discard(job_id)
-        elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.removed:
+            self.commit_queue.finalized.discard(job_id)
+        elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.finalized:
             self._load_job(job_id, entry)
 
     def _load_job(self, job_id: str, entry: Entry) -> None:
-        job = self.job_table.load(entry.value, entry.mod_revision, monotonic_time(), time_of_day())
+        record = decode_record(entry.value, JobRecord)
+        job = self.job_table.load(record, entry.mod_revision, monotonic_time(), time_of_day())
         self.rounds.bring_forward()
         if job.spec.priority is Priority.PRODUCTION:
             self.plan_now()  # it preempts at once, best before the work that it preempts is launched
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from passrock.core.inventory import Machine, MachineInventory
-from passrock.core.jobs import Job, JobTable, smallest_request
+from passrock.core.job import Job, smallest_request
+from passrock.core.job_table import JobTable
 from passrock.core.model import ZERO_RESOURCES, JobKind, MachineType, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
@@ -88,7 +89,7 @@
     planned = used.get(team.name, ZERO_RESOURCES)
 
     def is_over(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.resources.scaled(count))
+        return not team.within_quota(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
         return 0 if is_over(job.waiting) else job.waiting
