--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -13,7 +13,7 @@
 from passrock.io.clock import time_of_day
 from passrock.logs import error, info
 
-MOST_FAVOURED_PART = 8  # one flow at a time goes first for so many machines, and one at the least
+MACHINES_PER_PRIORITIZED_FLOW = 8  # one flow at a time goes first for so many machines, and one at the least
 
 
 def flow_of(job: Job) -> Flow:
@@ -22,7 +22,7 @@
 
 
 class Dispatch:
-    """Watches starts by flow, and tells the placer which jobs go first and which may not be displaced."""
+    """Watches starts by flow, and tells the scheduler which jobs go first and which may not be preempted."""
 
     def __init__(self, watch: StartWatch, window_s: float, protect_s: float, every_s: float) -> None:
         self.watch = watch
@@ -45,23 +45,25 @@
         self._looked_at = now
         self._note_starts(today)
         self.waits = self.watch.look(self._waiting(scheduler, now))
-        favoured = self.watch.favoured(self.waits, today, max(1, len(scheduler.usable) // MOST_FAVOURED_PART))
+        prioritized = self.watch.favoured(
+            self.waits, today, max(1, len(scheduler.capacity.schedulable) // MACHINES_PER_PRIORITIZED_FLOW)
+        )
         under_way = {flow_of(attempt.job) for attempt in self._placed}
-        favoured = [wait for wait in favoured if wait.flow not in under_way]
-        self._tell_new(favoured, scheduler.favoured, today)
-        scheduler.favoured = frozenset(wait.oldest for wait in favoured)
+        prioritized = [wait for wait in prioritized if wait.flow not in under_way]
+        self._tell_new(prioritized, scheduler.overrides.prioritized, today)
+        scheduler.overrides.prioritized = frozenset(wait.oldest for wait in prioritized)
         self._protected = {job_id: until for job_id, until in self._protected.items() if until > today}
-        scheduler.protected = frozenset(self._protected)
+        scheduler.overrides.protected_from_preemption = frozenset(self._protected)
         self._tell_starved(today)
 
     def _take_in(self, scheduler: Scheduler, placed: Iterable[TaskAttempt], today: float) -> None:
-        """What was placed for a favoured job is safe from displacement at once, before it has started."""
+        """What was placed for a prioritized job is safe from preemption at once, before it has started."""
         for attempt in placed:
             self._placed.append(attempt)
             job_id = attempt.job.spec.id
-            if job_id in scheduler.favoured and job_id not in self._protected:
+            if job_id in scheduler.overrides.prioritized and job_id not in self._protected:
                 self._protected[job_id] = today + self.protect_s
-                scheduler.protected |= {job_id}
+                scheduler.overrides.protected_from_preemption |= {job_id}
                 info(
                     "prioritized_job_placed",
                     job=job_id,
@@ -96,17 +98,17 @@
         spec = job.spec
         if job.not_before > now or job.is_suspect:
             return Obstacle.FAILING
-        if not scheduler.allowed_now(job, spec.tasks if spec.kind is JobKind.GANG else 1):
+        if not scheduler.quotas.allows(job, spec.tasks if spec.kind is JobKind.GANG else 1):
             return Obstacle.TEAM_LIMIT
         if not any(
             spec.allows(machine.type.name, machine.zone, machine.spot) and spec.resources.fits(machine.type.size)
-            for machine in scheduler.usable
+            for machine in scheduler.capacity.schedulable
         ):
             return Obstacle.NO_MACHINE
         return Obstacle.OTHERS
 
-    def _tell_new(self, favoured: list[FlowWait], before: frozenset[str], today: float) -> None:
-        for wait in favoured:
+    def _tell_new(self, prioritized: list[FlowWait], before: frozenset[str], today: float) -> None:
+        for wait in prioritized:
             if wait.oldest not in before:
                 waited = round(today - wait.since)
                 info(
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -39,7 +39,9 @@
 
     def adjust(self, queue: list[Job], now: float) -> None:
         """Rent for the waiting jobs and for the buffer; give back what nobody needs."""
-        lacking = [job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.stopping_for(job)]
+        lacking = [
+            job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_for(job)
+        ]
         wanted = plan_scale_out(
             lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
         )
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -131,7 +131,7 @@
             units.append(Unit(machine.name, machine.zone, machine.type.size.gpus / whole, not attempts, teams))
         claims = []
         for team in self.settings.teams.values():
-            asked = self.scheduler.demand(team.name).gpus
+            asked = self.scheduler.quotas.demand(team.name).gpus
             if team.gpus_max > 0:
                 asked = min(asked, team.gpus_max)
             desired = asked / whole
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -6,10 +6,10 @@
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
+from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import WORKER_WAIT_S, Machine, MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.model import Priority
-from passrock.core.preemption import drain
 from passrock.logs import info
 from passrock.settings import Settings
 
@@ -90,7 +90,7 @@
         if failures <= 1:
             return
         info("machine_cordoned", machine=machine.name, jobs=failures)
-        drain(self.job_table, machine.name)
+        drain_machine(self.job_table, machine.name)
         if machine.name not in self.job_table.attempts_by_machine:
             self.provisioner.delete(machine)
 
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,10 +8,10 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
+from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.messages import Command, WorkerHeartbeat
-from passrock.core.preemption import drain
 from passrock.core.reconciler import Reconciler
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
@@ -69,7 +69,7 @@
             return None  # its deletion may take long: unanswered, its lease ends as well
         machine.answered = now
         if machine.notice_until is not None:
-            drain(self.job_table, machine.name)
+            drain_machine(self.job_table, machine.name)
         if machine.confirmed and not was_usable:
             self.rounds.bring_forward()
             info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -17,11 +17,12 @@
 from passrock.controller.record_loader import confirmed_at, load_records
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
+from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
 from passrock.core.model import Priority
 from passrock.core.objectives import ServiceLevelObjectives
-from passrock.core.preemption import Preemption, stop_softly
+from passrock.core.preemption import Preemption
 from passrock.core.records import tasks_per_page
 from passrock.core.scaling import MachineCatalog
 from passrock.core.scheduler import Scheduler
@@ -62,8 +63,8 @@
         )
         self.evaluations = Evaluations()
         self.assignments: dict[str, str] = {}
-        keep_after = operator.begin_within_s * operator.keep_room_ratio
-        objectives = ServiceLevelObjectives(settings.objectives, keep_after)
+        starvation_threshold_s = operator.begin_within_s * operator.keep_room_ratio
+        objectives = ServiceLevelObjectives(settings.objectives, starvation_threshold_s)
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
         self.commit_queue = CommitQueue(
@@ -231,7 +232,7 @@
             )
         if self.on_evaluated is not None:
             self.on_evaluated(self.scheduler, started, now)
-        if self.scheduler.cut_short:
+        if self.scheduler.truncated:
             self.evaluations.request()
         if planning:
             self._preempt(self.scheduler.waiting, now)
@@ -243,10 +244,10 @@
 
     def _preempt(self, queue: list[Job], now: float) -> None:
         for job in queue:
-            if not self.preemption.displaces(job):
+            if not self.preemption.policy.can_preempt(job):
                 continue
-            early = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
-            for attempt in self.preemption.make_room(job, now, early):
+            has_just_come = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
+            for attempt in self.preemption.select_victims(job, now, elastic_only=has_just_come):
                 info(
                     "task_preempted",
                     job=attempt.job.spec.id,
@@ -254,8 +255,8 @@
                     machine=attempt.machine,
                     by=job.spec.id,
                 )
-                stop_softly(attempt, self.settings.gang_peer_s)
-                if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the room is free at once
+                stop_gracefully(attempt, self.settings.gang_peer_s)
+                if self.job_table.is_unlaunched(attempt):  # nothing of it is on its way: the capacity is free at once
                     self.job_table.attempt_lost(attempt, now)
                     self.evaluations.request()
                 machine = self.inventory.machines.get(attempt.machine)
--- /dev/null
+++ b/src/passrock/core/capacity_forecast.py
@@ -0,0 +1,62 @@
+"""Estimates of how long it takes until a machine has enough free capacity for a task."""
+
+from __future__ import annotations
+
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.inventory import Machine
+from passrock.core.jobs import JobTable, TaskAttempt
+from passrock.core.model import JobKind, Resources
+
+OPEN_ENDED_S = 3600.0  # for what ends when its user says so: services, and orphans that nobody has an estimate for
+
+
+class CapacityForecast:
+    """Seconds until capacity is free, by the owners' estimates of run times.
+
+    Kept for one pass: gangs of one class ask for the same of every machine.
+
+    Args:
+        job_table: what runs on the machines.
+        capacity: what is free now.
+        stop_latency_s: seconds until a stopped task without anything to save has freed its resources.
+    """
+
+    def __init__(self, job_table: JobTable, capacity: FreeCapacity, stop_latency_s: float) -> None:
+        self.job_table = job_table
+        self.capacity = capacity
+        self.stop_latency_s = stop_latency_s
+        self._seconds: dict[Resources, dict[str, float]] = {}
+
+    def begin_pass(self) -> None:
+        """Drop the estimates of the last pass."""
+        self._seconds = {}
+
+    def seconds_until_free(self, machine: Machine, resources: Resources, now: float) -> float:
+        """Seconds until ``resources`` are likely to be free on the machine."""
+        by_machine = self._seconds.setdefault(resources, {})
+        seconds = by_machine.get(machine.name)
+        if seconds is None:
+            seconds = by_machine[machine.name] = self._estimate(machine, resources, now)
+        return seconds
+
+    def _estimate(self, machine: Machine, resources: Resources, now: float) -> float:
+        free = self.capacity.on(machine)
+        if resources.fits(free):
+            return 0.0
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        ends = [(self._seconds_left(attempt, now), attempt.job.spec.resources) for attempt in attempts]
+        for seconds_left, released in sorted(ends, key=lambda end: end[0]):
+            free = free + released
+            if resources.fits(free):
+                return seconds_left
+        return OPEN_ENDED_S
+
+    def _seconds_left(self, attempt: TaskAttempt, now: float) -> float:
+        """Seconds until the attempt is likely to end; none ends sooner than a stopped one."""
+        spec = attempt.job.spec
+        if attempt.stop_grace_s is not None:
+            return self.stop_latency_s
+        if spec.kind is JobKind.SERVICE:
+            return max(OPEN_ENDED_S, self.stop_latency_s)
+        run_time = now - (attempt.running_since or now)
+        return max(spec.estimate - run_time, self.stop_latency_s)
--- /dev/null
+++ b/src/passrock/core/free_capacity.py
@@ -0,0 +1,70 @@
+"""Free capacity as one scheduling pass sees it: schedulable machines and the resources left on them."""
+
+from __future__ import annotations
+
+from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.jobs import Job, smallest_request
+from passrock.core.model import JobSpec, MachineType, Resources
+from passrock.core.objectives import image_fetch_time
+
+
+class FreeCapacity:
+    """Schedulable machines, with the tentative allocations of the present pass taken off.
+
+    Attributes:
+        schedulable: machines that may take tasks.
+        with_capacity: those of them on which the smallest waiting task fits; on a full fleet that is a handful.
+        zones: zones of the schedulable machines, in the order of the inventory.
+        machine_types: their types by name.
+    """
+
+    def __init__(self, inventory: MachineInventory) -> None:
+        self.inventory = inventory
+        self.schedulable: list[Machine] = []
+        self.with_capacity: list[Machine] = []
+        self.zones: dict[str, None] = {}
+        self.machine_types: dict[str, MachineType] = {}
+        self._free: dict[str, Resources] = {}
+
+    def begin_pass(self, now: float) -> None:
+        """Drop the allocations of the last pass and find the machines that are schedulable now."""
+        self._free = {}
+        self.schedulable = []
+        self.with_capacity = []
+        self.zones = {}
+        self.machine_types = {}
+        for machine in self.inventory.machines.values():
+            if self.inventory.usable(machine, now):
+                self.schedulable.append(machine)
+                self.zones[machine.zone] = None
+                self.machine_types[machine.type.name] = machine.type
+
+    def narrow_to(self, waiting: list[Job]) -> None:
+        """Leave machines on which not even the smallest waiting task fits out of ``with_capacity``."""
+        least = smallest_request(waiting)
+        self.with_capacity = [machine for machine in self.schedulable if machine.has_room(least)]
+
+    def on(self, machine: Machine) -> Resources:
+        """The resources that are free on the machine."""
+        free = self._free.get(machine.name)
+        if free is None:
+            free = self._free[machine.name] = machine.room
+        return free
+
+    def allocate(self, machine: Machine, resources: Resources) -> None:
+        """Take resources on the machine for the rest of the pass, or until they are released."""
+        self._free[machine.name] = self.on(machine) - resources
+
+    def release(self, machine: Machine, resources: Resources) -> None:
+        """Undo a tentative allocation."""
+        self._free[machine.name] = self.on(machine) + resources
+
+    def zones_to_try(self, spec: JobSpec) -> list[str | None]:
+        """The zones to try for a job without tasks so far; None stands for all zones together."""
+        return list(self.zones) if spec.one_zone else [None]
+
+    def longest_image_fetch(self, spec: JobSpec) -> float:
+        """Seconds to fetch the job's image on the slowest type of the schedulable machines."""
+        return max(
+            (image_fetch_time(spec, machine_type) for machine_type in self.machine_types.values()), default=0.0
+        )
--- /dev/null
+++ b/src/passrock/core/gang_placement.py
@@ -0,0 +1,117 @@
+"""Placement of gangs: all tasks of a gang start together, or none does."""
+
+from __future__ import annotations
+
+from heapq import heappop
+from typing import NamedTuple
+
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.inventory import Machine
+from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine_holds import MachineHolds
+from passrock.core.machine_scoring import MachineScorer
+from passrock.core.model import JobSpec, Resources
+from passrock.core.quota import TeamQuotas
+from passrock.core.starvation_holds import StarvationHolds
+
+
+class GangShape(NamedTuple):
+    """What decides, along with the number of tasks, where a gang fits."""
+
+    resources: Resources
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+    one_zone: bool
+
+    @classmethod
+    def of(cls, spec: JobSpec) -> GangShape:
+        """The shape of a gang."""
+        return cls(spec.resources, spec.types, spec.zone, spec.spot, spec.one_zone)
+
+
+class GangOption(NamedTuple):
+    """Machines for all tasks of a gang, in the order of its tasks, and what they cost in seconds."""
+
+    cost: float
+    machines: list[Machine]
+
+
+class GangPlacement:
+    """Places gangs, and has machines held for those that starve."""
+
+    def __init__(
+        self,
+        job_table: JobTable,
+        quotas: TeamQuotas,
+        capacity: FreeCapacity,
+        holds: MachineHolds,
+        scorer: MachineScorer,
+        starvation_holds: StarvationHolds,
+    ) -> None:
+        self.job_table = job_table
+        self.quotas = quotas
+        self.capacity = capacity
+        self.holds = holds
+        self.scorer = scorer
+        self.starvation_holds = starvation_holds
+        self._unschedulable_shapes: dict[GangShape, int] = {}  # with the least number of tasks that didn't fit
+
+    def begin_pass(self) -> None:
+        """Drop what the last pass found."""
+        self._unschedulable_shapes = {}
+
+    def place(self, job: Job, now: float) -> list[TaskAttempt]:
+        """Start all tasks of the gang; returns their attempts, none when the gang doesn't fit."""
+        spec = job.spec
+        shape = GangShape.of(spec)
+        unschedulable_size = self._unschedulable_shapes.get(shape)
+        if unschedulable_size is not None and spec.tasks >= unschedulable_size and not self.holds.exist_for(job):
+            self.starvation_holds.renew(job, now)
+            return []
+        if self.quotas.has_orphans(job) or not self.quotas.allows(job, spec.tasks):
+            return []
+        option = self._cheapest_option(job, now)
+        if option is None:
+            smallest = spec.tasks if unschedulable_size is None else min(spec.tasks, unschedulable_size)
+            self._unschedulable_shapes[shape] = smallest
+            self.starvation_holds.renew(job, now)
+            return []
+        return self._start(job, option.machines, now)
+
+    def _cheapest_option(self, job: Job, now: float) -> GangOption | None:
+        best: GangOption | None = None
+        for zone in self.capacity.zones_to_try(job.spec):
+            option = self._option_in(zone, job, now)
+            if option is not None and (best is None or option.cost < best.cost):
+                best = option
+        return best
+
+    def _option_in(self, zone: str | None, job: Job, now: float) -> GangOption | None:
+        """The cheapest machines in a zone; the gang starts when the last of its images is there."""
+        spec = job.spec
+        machines: list[Machine] = []
+        longest_fetch = total_cost = 0.0
+        heap = self.scorer.candidate_heap(job, zone, now)
+        while heap and len(machines) < spec.tasks:
+            cost, _, machine = heappop(heap)
+            longest_fetch = max(longest_fetch, machine.fetch_wait(spec))
+            total_cost += cost
+            self.capacity.allocate(machine, spec.resources)
+            machines.append(machine)
+            self.scorer.push_back(heap, job, machine)
+        for machine in machines:
+            self.capacity.release(machine, spec.resources)
+        if len(machines) < spec.tasks:
+            return None
+        return GangOption(longest_fetch + total_cost / spec.tasks, machines)
+
+    def _start(self, job: Job, machines: list[Machine], now: float) -> list[TaskAttempt]:
+        attempt_number = job.next_attempt_number(0)
+        started = []
+        for index, machine in enumerate(machines):
+            self.capacity.allocate(machine, job.spec.resources)
+            self.holds.release(machine.name)
+            started.append(self.job_table.start(job, index, machine, attempt_number, now))
+        job.advance()
+        return started
--- /dev/null
+++ b/src/passrock/core/graceful_stop.py
@@ -0,0 +1,33 @@
+"""Stopping tasks gracefully: with time to save a checkpoint, and gangs as a whole."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from passrock.core.jobs import JobTable, TaskAttempt
+from passrock.core.messages import TaskState
+from passrock.core.model import JobKind
+
+
+def stopped_together(attempt: TaskAttempt) -> Iterable[TaskAttempt]:
+    """The attempts that end when this one is stopped: its whole gang, or itself."""
+    return attempt.job.attempts() if attempt.job.spec.kind is JobKind.GANG else (attempt,)
+
+
+def stop_gracefully(attempt: TaskAttempt, min_grace_s: float) -> None:
+    """Ask a task to end, unless it was asked before.
+
+    Args:
+        attempt: the attempt to stop.
+        min_grace_s: the least time in seconds for a running task with checkpoints to save; others get none.
+    """
+    if attempt.stop_grace_s is None:
+        can_save = attempt.job.spec.checkpoint > 0 and attempt.state is TaskState.RUNNING
+        attempt.stop_grace_s = max(min_grace_s, attempt.job.spec.save) if can_save else 0.0
+
+
+def drain_machine(job_table: JobTable, machine_name: str) -> None:
+    """Ask everything on a machine to save and end."""
+    for attempt in list(job_table.attempts_by_machine.get(machine_name, {}).values()):
+        for member in list(stopped_together(attempt)):
+            stop_gracefully(member, member.job.spec.save)
--- /dev/null
+++ b/src/passrock/core/job_queue.py
@@ -0,0 +1,133 @@
+"""Order of waiting jobs, and the rank by which one job may preempt another."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import msgspec
+
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.jobs import Job, JobTable
+from passrock.core.model import NOTHING, JobKind, Priority, Resources, Team
+from passrock.core.objectives import ServiceLevelObjectives
+
+NO_OBJECTIVE_S = 1e9  # jobs without an objective that they can still meet come after all others, oldest first
+
+
+class DispatchOverrides(msgspec.Struct):
+    """Ids of jobs that fair admission treats apart, so that no class of jobs starves.
+
+    Attributes:
+        prioritized: jobs that go before all others.
+        protected_from_preemption: jobs that are not preempted, whatever their rank.
+    """
+
+    prioritized: frozenset[str] = frozenset()
+    protected_from_preemption: frozenset[str] = frozenset()
+
+
+class JobRank(NamedTuple):
+    """Who preempts whom, higher is more: production, then what is guaranteed, then priority.
+
+    Only a job of strictly higher rank preempts another. Judging guarantees by what runs at the moment
+    instead let teams take the same machines from each other again and again.
+    """
+
+    is_production: bool
+    is_guaranteed: bool
+    priority: int
+
+
+class QueuePosition(NamedTuple):
+    """Sort key of a waiting job; the lowest is placed first."""
+
+    behind_prioritized: bool
+    behind_production: bool
+    behind_starving: bool
+    behind_guaranteed: bool
+    place_by: float
+    submitted: float
+
+
+class JobQueue:
+    """Ranks all jobs and orders the waiting ones."""
+
+    def __init__(
+        self,
+        job_table: JobTable,
+        teams: dict[str, Team],
+        objectives: ServiceLevelObjectives,
+        capacity: FreeCapacity,
+        overrides: DispatchOverrides,
+    ) -> None:
+        self.job_table = job_table
+        self.teams = teams
+        self.objectives = objectives
+        self.capacity = capacity
+        self.overrides = overrides
+        self.guaranteed: set[str] = set()
+        self._ranks: dict[str, JobRank] = {}
+        self._ranked_version: int | None = None  # of the demand that ``guaranteed`` and the ranks were found for
+
+    def update_guaranteed(self) -> None:
+        """Find the jobs that fit into their team's guarantee along with all its earlier unfinished jobs."""
+        if self._ranked_version == self.job_table.demand_version:
+            return
+        self._ranked_version = self.job_table.demand_version
+        self.guaranteed = set()
+        self._ranks = {}
+        demand: dict[str, Resources] = {}
+        for job in sorted(self.job_table.jobs.values(), key=lambda job: (job.submitted, job.spec.id)):
+            team = self.teams.get(job.spec.team)
+            if team is None or job.cancelled:
+                continue
+            total = demand.get(team.name, NOTHING) + job.spec.resources.times(job.spec.tasks - job.done_count)
+            demand[team.name] = total
+            if team.within_guarantee(total):
+                self.guaranteed.add(job.spec.id)
+
+    def is_guaranteed(self, job: Job) -> bool:
+        """Whether the job fits into its team's guarantee."""
+        return job.spec.id in self.guaranteed
+
+    def is_prioritized(self, job: Job) -> bool:
+        """Whether fair admission lets the job go before all others."""
+        return job.spec.id in self.overrides.prioritized
+
+    def rank(self, job: Job) -> JobRank:
+        """The job's rank for preemption."""
+        spec = job.spec
+        rank = self._ranks.get(spec.id)
+        if rank is None:
+            rank = JobRank(spec.priority is Priority.PRODUCTION, spec.id in self.guaranteed, int(spec.priority))
+            self._ranks[spec.id] = rank
+        return rank
+
+    def ordered(self, now: float) -> list[Job]:
+        """Jobs with tasks that may be placed now, most urgent first.
+
+        A gang waits until its last attempt has ended as a whole.
+        """
+        ready = [
+            job
+            for job in self.job_table.jobs.values()
+            if job.waiting > 0
+            and not job.cancelled
+            and job.not_before <= now
+            and job.final is None
+            and not (job.spec.kind is JobKind.GANG and job.attempt_count > 0)
+        ]
+        return sorted(ready, key=lambda job: self._position(job, now))
+
+    def _position(self, job: Job, now: float) -> QueuePosition:
+        rank = self.rank(job)
+        behind_prioritized = not self.is_prioritized(job)
+        behind_production = not rank.is_production
+        if self.objectives.is_starving(job, now):
+            # oldest first; otherwise those that have missed all objectives would wait for ever
+            return QueuePosition(behind_prioritized, behind_production, False, False, job.waiting_since, job.order)
+        latest_start = self.objectives.latest_start(
+            job, now, guaranteed=rank.is_guaranteed, image_fetch_s=self.capacity.longest_image_fetch(job.spec)
+        )
+        place_by = latest_start if latest_start is not None else NO_OBJECTIVE_S + job.order
+        return QueuePosition(behind_prioritized, behind_production, True, not rank.is_guaranteed, place_by, job.order)
--- /dev/null
+++ b/src/passrock/core/machine_holds.py
@@ -0,0 +1,54 @@
+"""Machine holds: machines reserved for one waiting job."""
+
+from __future__ import annotations
+
+import msgspec
+
+from passrock.core.inventory import Machine
+from passrock.core.jobs import Job
+
+
+class MachineHold(msgspec.Struct, frozen=True):
+    """A machine that takes no tasks but those of one job.
+
+    Either tasks were preempted there for the job and are on their way out, or the job has waited too long
+    and would never find all its machines free at one time.
+    """
+
+    job_id: str
+    until: float  # monotonic time
+
+
+class MachineHolds:
+    """The holds by machine; each ends by itself unless it is renewed."""
+
+    def __init__(self) -> None:
+        self.by_machine: dict[str, MachineHold] = {}
+
+    def __len__(self) -> int:
+        return len(self.by_machine)
+
+    def expire(self, now: float) -> None:
+        """Drop the holds that have ended."""
+        self.by_machine = {name: hold for name, hold in self.by_machine.items() if hold.until > now}
+
+    def hold(self, machine: Machine, job: Job, until: float) -> None:
+        """Hold a machine for a job; replaces an earlier hold."""
+        self.by_machine[machine.name] = MachineHold(job.spec.id, until)
+
+    def release(self, machine_name: str) -> None:
+        """End the hold of a machine, if there is one."""
+        self.by_machine.pop(machine_name, None)
+
+    def allows(self, job: Job, machine: Machine) -> bool:
+        """Whether the machine isn't held for another job."""
+        hold = self.by_machine.get(machine.name)
+        return hold is None or hold.job_id == job.spec.id
+
+    def exist_for(self, job: Job) -> bool:
+        """Whether any machine is held for the job."""
+        return any(hold.job_id == job.spec.id for hold in self.by_machine.values())
+
+    def machines_of(self, job: Job) -> set[str]:
+        """Names of the machines held for the job."""
+        return {name for name, hold in self.by_machine.items() if hold.job_id == job.spec.id}
--- /dev/null
+++ b/src/passrock/core/machine_scoring.py
@@ -0,0 +1,99 @@
+"""Which machines a job's tasks may use, and what placing a task on each of them costs."""
+
+from __future__ import annotations
+
+from heapq import heapify, heappush
+
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.inventory import Machine
+from passrock.core.jobs import Job, JobTable
+from passrock.core.machine_holds import MachineHolds
+from passrock.core.model import JobKind, JobSpec
+from passrock.core.objectives import ServiceLevelObjectives
+
+# Costs are in seconds, so that they weigh against the wait for an image.
+FREE_SHARE_COST = 15.0  # times the share of the machine that stays free: bin packing
+OTHER_RESERVATION_COST = 4.0  # the machine is assigned to another team
+ON_DEMAND_COST = 40.0  # an on-demand machine for a job that may use spot instances
+FRAGMENTATION_COST = 40.0  # times the share that stays free beside a replica, for as long as that runs
+FAILED_HERE_COST = 1000.0  # the job has failed on this machine
+
+# Cost, name of the machine (which decides between equal costs), machine; ordered by heapq.
+Candidate = tuple[float, str, Machine]
+
+
+class MachineScorer:
+    """Finds the candidate machines of a job and ranks them by cost."""
+
+    def __init__(
+        self,
+        job_table: JobTable,
+        assignments: dict[str, str],
+        objectives: ServiceLevelObjectives,
+        capacity: FreeCapacity,
+        holds: MachineHolds,
+    ) -> None:
+        self.job_table = job_table
+        self.assignments = assignments
+        self.objectives = objectives
+        self.capacity = capacity
+        self.holds = holds
+
+    def cost(self, job: Job, machine: Machine) -> float:
+        """The cost in seconds of placing a task of the job on the machine."""
+        spec = job.spec
+        free_share = (self.capacity.on(machine) - spec.resources).share_of(machine.type.size)
+        fetch_harm = machine.fetch_harm(spec)
+        cost = machine.fetch_wait(spec) + fetch_harm + FREE_SHARE_COST * free_share
+        team = self.assignments.get(machine.name)
+        if team is not None and team != spec.team:
+            cost += OTHER_RESERVATION_COST
+        if spec.spot and not machine.spot:
+            cost += ON_DEMAND_COST
+        if machine.name in job.avoid:
+            cost += FAILED_HERE_COST
+        if spec.kind is JobKind.SERVICE:
+            # Replicas run for long: spread over empty machines they fragment each, whose rest then serves no
+            # gang of whole machines and is paid for until the last replica ends. But where a replica is still
+            # fetching another image, both would be late.
+            occupied = self.job_table.attempts_by_machine.get(machine.name)
+            cost += fetch_harm if occupied else FRAGMENTATION_COST * free_share
+        return cost
+
+    def candidates(self, job: Job, zone: str | None, now: float) -> list[Machine]:
+        """Machines with free capacity that the job may use, in one zone or in all (None).
+
+        An array that may use spot instances leaves on-demand machines to jobs that may not, as long as its
+        objectives leave it time: it took them for minutes, and gangs waited beside free spot instances.
+        """
+        spec = job.spec
+        prefers_spot = may_wait_for_spot(spec)
+        spot_only = {
+            name: prefers_spot and not self.objectives.too_urgent_for_spot(job, machine_type, now)
+            for name, machine_type in self.capacity.machine_types.items()
+        }
+        return [
+            machine
+            for machine in self.capacity.with_capacity
+            if spec.resources.fits(self.capacity.on(machine))
+            and spec.allows(machine.type.name, machine.zone, machine.spot)
+            and (zone is None or machine.zone == zone)
+            and (machine.spot or not spot_only[machine.type.name])
+            and self.holds.allows(job, machine)
+        ]
+
+    def candidate_heap(self, job: Job, zone: str | None, now: float) -> list[Candidate]:
+        """The candidates as a heap by cost; placing a task changes the cost of its own machine only."""
+        heap = [(self.cost(job, machine), machine.name, machine) for machine in self.candidates(job, zone, now)]
+        heapify(heap)
+        return heap
+
+    def push_back(self, heap: list[Candidate], job: Job, machine: Machine) -> None:
+        """Put a machine back on the heap after a task was placed on it, if one more fits."""
+        if job.spec.resources.fits(self.capacity.on(machine)):
+            heappush(heap, (self.cost(job, machine), machine.name, machine))
+
+
+def may_wait_for_spot(spec: JobSpec) -> bool:
+    """Whether a job's tasks can wait for spot instances one by one, as far as its objectives leave it time."""
+    return spec.spot and spec.kind is JobKind.ARRAY
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -1,4 +1,4 @@
-"""What the users expect of each class of jobs, and by when a waiting job should start."""
+"""Service-level objectives of job classes, and by when a waiting job has to be placed to meet them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from passrock.core.jobs import Job
 from passrock.core.model import JobSpec, MachineType
 
-AHEAD = 1.5  # times the time until a rented machine would run a task: then a due job can't wait any more
-MARGIN = 1.3  # times the owner's estimate of the run time, which is often too low, where a job has to end in time
-PAST = 1e9  # after every job that can still meet an aim
+# Times the provisioning time of a machine: with no more than this left, a job can't wait for a spot machine.
+PROVISIONING_MARGIN = 1.5
+# Times the owner's estimate of the run time, which is often too low, where a job has to end in time.
+ESTIMATE_MARGIN = 1.3
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An aim on starting or finishing that the platform hands over."""
+    """An objective on starting or finishing that the platform hands over."""
 
     kind: str
     job_class: str
@@ -22,64 +23,85 @@
 
 
 class ServiceLevelObjectives:
-    """The objectives, by class."""
-
-    def __init__(self, objectives: tuple[Objective, ...], keep_after: float) -> None:
-        self.keep_after = keep_after
-        self._waits: dict[str, list[float]] = {}
-        self._ends: dict[str, list[float]] = {}
-        self._guarantees = sorted(aim.within_s for aim in objectives if aim.kind == "guarantee")
-        for aim in objectives:
-            if aim.kind == "wait":
-                self._waits.setdefault(aim.job_class, []).append(aim.within_s)
-            elif aim.kind == "finished":
-                self._ends.setdefault(aim.job_class, []).append(aim.within_s)
-        for times in (*self._waits.values(), *self._ends.values()):
-            times.sort()
-        self._with_guarantee = {name: sorted(times + self._guarantees) for name, times in self._waits.items()}
-
-    def due(self, job: Job, now: float, guaranteed: bool = False, fetch: float = 0.0) -> float:
-        """When the job should start to meet the next aim that it can still meet.
-
-        A job that has missed an aim no longer competes for it with those that can still make it. With
-        the time that its image takes, the time is that of placing it, and an aim that a fetch would miss
-        is taken for missed.
+    """The objectives by job class.
+
+    Args:
+        objectives: what the platform hands over.
+        starvation_threshold_s: the wait after which a job counts as starving.
+    """
+
+    def __init__(self, objectives: tuple[Objective, ...], starvation_threshold_s: float) -> None:
+        self.starvation_threshold_s = starvation_threshold_s
+        self._start_limits: dict[str, list[float]] = {}
+        self._finish_limits: dict[str, list[float]] = {}
+        self._guarantee_limits = sorted(one.within_s for one in objectives if one.kind == "guarantee")
+        for one in objectives:
+            if one.kind == "wait":
+                self._start_limits.setdefault(one.job_class, []).append(one.within_s)
+            elif one.kind == "finished":
+                self._finish_limits.setdefault(one.job_class, []).append(one.within_s)
+        for limits in (*self._start_limits.values(), *self._finish_limits.values()):
+            limits.sort()
+        self._guaranteed_start_limits = {
+            job_class: sorted(limits + self._guarantee_limits) for job_class, limits in self._start_limits.items()
+        }
+
+    def latest_start(
+        self, job: Job, now: float, *, guaranteed: bool = False, image_fetch_s: float = 0.0
+    ) -> float | None:
+        """The time by which the job has to be placed for the next objective that it can still meet.
+
+        A job that has missed an objective no longer competes for it with those that can still meet it. The
+        image fetch counts: an objective that it would miss is taken for missed.
+
+        Args:
+            job: the waiting job.
+            now: monotonic time.
+            guaranteed: whether the job is within its team's guarantee, which has objectives of its own.
+            image_fetch_s: seconds from the placement until the job's image is on the machine.
+
+        Returns:
+            Monotonic time, or None when no objective is left.
         """
-        now += fetch
         spec = job.spec
+        earliest_start = now + image_fetch_s
         if guaranteed:
-            waits = self._with_guarantee.get(spec.job_class, self._guarantees)
+            start_limits = self._guaranteed_start_limits.get(spec.job_class, self._guarantee_limits)
         else:
-            waits = self._waits.get(spec.job_class, [])
-        for within in waits:
-            if now < job.order + within:
-                return job.order + within - fetch
-        ends = self._ends.get(spec.job_class, [])
+            start_limits = self._start_limits.get(spec.job_class, [])
+        for within_s in start_limits:
+            if earliest_start < job.order + within_s:
+                return job.order + within_s - image_fetch_s
+        finish_limits = self._finish_limits.get(spec.job_class, [])
         if spec.deadline is not None:
-            ends = sorted([*ends, spec.deadline])
-        for within in ends:
-            start = job.order + within - spec.estimate * MARGIN
-            if now < start:
-                return start - fetch
-        return PAST + job.order
-
-    def presses(self, job: Job, kind: MachineType, now: float) -> bool:
-        """Whether the job must begin so soon that it can't wait for a cheap machine.
-
-        One without any aim left would wait for ever where none can be had.
+            finish_limits = sorted([*finish_limits, spec.deadline])
+        for within_s in finish_limits:
+            start = job.order + within_s - spec.estimate * ESTIMATE_MARGIN
+            if earliest_start < start:
+                return start - image_fetch_s
+        return None
+
+    def too_urgent_for_spot(self, job: Job, machine_type: MachineType, now: float) -> bool:
+        """Whether the job has to start so soon that it can't wait for a spot instance of this type.
+
+        A starving job can't either: one without any objective left would wait for ever where no spot
+        instance can be had.
         """
-        return self.overdue(job, now) or self.due(job, now) - now <= AHEAD * lead_time(kind, job.spec)
+        if self.is_starving(job, now):
+            return True
+        latest = self.latest_start(job, now)
+        return latest is not None and latest - now <= PROVISIONING_MARGIN * provisioning_time(machine_type, job.spec)
 
-    def overdue(self, job: Job, now: float) -> bool:
-        """Whether the job has waited so long that it goes first and room is kept for it."""
-        return now - job.waiting_since > self.keep_after * (1 if job.attempt_count == 0 else 2)
+    def is_starving(self, job: Job, now: float) -> bool:
+        """Whether the job has waited so long that it goes first and machines are held for it."""
+        return now - job.waiting_since > self.starvation_threshold_s * (1 if job.attempt_count == 0 else 2)
 
 
-def fetch_time(spec: JobSpec, kind: MachineType) -> float:
-    """Seconds to fetch a job's image on a machine without it."""
-    return spec.image_gb / kind.fetch_rate if kind.fetch_rate > 0 else 0.0
+def image_fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
+    """Seconds to fetch a job's image on a machine that doesn't have it."""
+    return spec.image_gb / machine_type.fetch_rate if machine_type.fetch_rate > 0 else 0.0
 
 
-def lead_time(kind: MachineType, spec: JobSpec) -> float:
+def provisioning_time(machine_type: MachineType, spec: JobSpec) -> float:
     """Seconds from the request for a machine until a task of the job runs on it."""
-    return kind.boot_s + fetch_time(spec, kind)
+    return machine_type.boot_s + image_fetch_time(spec, machine_type)
--- /dev/null
+++ b/src/passrock/core/preemption_planner.py
@@ -0,0 +1,190 @@
+"""Plans of preemption: the machines on which a job would fit, and the cheapest victims on each."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+import msgspec
+
+from passrock.core.inventory import Machine
+from passrock.core.jobs import Job, TaskAttempt
+from passrock.core.messages import TaskState
+from passrock.core.model import JobKind, JobSpec
+from passrock.core.objectives import image_fetch_time
+from passrock.core.preemption_policy import PreemptionPolicy
+from passrock.core.scheduler import Scheduler
+from passrock.core.task_placement import MAX_TASKS_PER_PASS
+from passrock.core.zone_constraint import ZoneConstraint
+
+
+class VictimChoice(msgspec.Struct, frozen=True):
+    """Attempts on one machine whose end lets one task fit, and the seconds of work lost with them."""
+
+    loss_s: float
+    victims: list[TaskAttempt]
+
+
+class PlannedMachine(msgspec.Struct, frozen=True):
+    """A machine for one task of the job, with the attempts to stop there (none where the task fits already)."""
+
+    machine: Machine
+    victims: list[TaskAttempt]
+    cost_s: float  # work lost, and the wait for the image
+
+    def sort_key(self) -> tuple[float, str]:
+        """The cheapest first, then by name."""
+        return self.cost_s, self.machine.name
+
+
+class PreemptionPlan(msgspec.Struct, frozen=True):
+    """Machines for the waiting tasks of a job, one entry a task."""
+
+    entries: list[PlannedMachine] = msgspec.field(default_factory=list)
+    cost_s: float = 0.0
+
+    @property
+    def has_victims(self) -> bool:
+        """Whether anything has to be stopped."""
+        return any(entry.victims for entry in self.entries)
+
+    def image_fetch_s(self, spec: JobSpec) -> float:
+        """The longest wait for the job's image on the plan's machines."""
+        return max((entry.machine.fetch_wait(spec) for entry in self.entries), default=0.0)
+
+    def longest_save_s(self) -> float:
+        """The longest time that a victim takes to save its checkpoint."""
+        victims = (victim for entry in self.entries for victim in entry.victims)
+        return max((victim.job.spec.save for victim in victims if victim.job.spec.checkpoint > 0), default=0.0)
+
+
+class PreemptionPlanner:
+    """Searches the state that the last scheduling pass left for the cheapest plan; changes nothing."""
+
+    def __init__(self, scheduler: Scheduler, policy: PreemptionPolicy) -> None:
+        self.policy = policy
+        self.job_table = scheduler.job_table
+        self.inventory = scheduler.inventory
+        self.queue = scheduler.queue
+        self.quotas = scheduler.quotas
+        self.capacity = scheduler.capacity
+        self.holds = scheduler.holds
+
+    def plan(
+        self, job: Job, now: float, *, max_image_fetch_s: float = math.inf, elastic_only: bool = False
+    ) -> PreemptionPlan:
+        """The cheapest plan for the job's waiting tasks.
+
+        Args:
+            job: a gang, for which the plan is complete, or another job, for as many tasks as can be had.
+            now: monotonic time.
+            max_image_fetch_s: machines on which the image would take longer are left out.
+            elastic_only: whether only elastic work may be stopped.
+
+        Returns:
+            The plan; without entries when there is none.
+        """
+        best = PreemptionPlan()
+        wanted = self._allowed_count(job)
+        if wanted == 0:
+            return best
+        is_gang = job.spec.kind is JobKind.GANG
+        zones = ZoneConstraint(job.spec, {}) if is_gang else ZoneConstraint.of(job, self.inventory)
+        for zone in self._zones_to_try(job, zones):
+            options = self._options(job, zone, now, max_image_fetch_s=max_image_fetch_s, elastic_only=elastic_only)
+            plan = _cheapest(options, wanted, zones.copy())
+            suffices = len(plan.entries) == wanted if is_gang else bool(plan.entries)
+            if suffices and (not best.entries or plan.cost_s < best.cost_s):
+                best = plan
+        return best
+
+    def _allowed_count(self, job: Job) -> int:
+        """How many waiting tasks the team's limit allows, up to those of one pass; all or none of a gang."""
+        if job.spec.kind is JobKind.GANG:
+            return job.spec.tasks if self.quotas.allows(job, job.spec.tasks) else 0
+        count = len(job.next_waiting(MAX_TASKS_PER_PASS))
+        while count > 0 and not self.quotas.allows(job, count):
+            count -= 1
+        return count
+
+    def _zones_to_try(self, job: Job, zones: ZoneConstraint) -> Iterable[str | None]:
+        required_zone = zones.required_zone
+        return self.capacity.zones_to_try(job.spec) if required_zone is None else [required_zone]
+
+    def _options(
+        self, job: Job, zone: str | None, now: float, *, max_image_fetch_s: float, elastic_only: bool
+    ) -> list[PlannedMachine]:
+        """All machines on which a task of the job would fit, the cheapest first."""
+        spec = job.spec
+        options = []
+        for machine in self.capacity.schedulable:
+            if not spec.allows(machine.type.name, machine.zone, machine.spot) or not self.holds.allows(job, machine):
+                continue
+            if (zone is not None and machine.zone != zone) or machine.name in job.avoid:
+                continue
+            fetch_wait_s = machine.fetch_wait(spec)
+            if fetch_wait_s > max_image_fetch_s:
+                continue
+            choice = self._choose_victims(job, machine, now, elastic_only=elastic_only)
+            if choice is not None:
+                options.append(PlannedMachine(machine, choice.victims, choice.loss_s + fetch_wait_s))
+        return sorted(options, key=PlannedMachine.sort_key)
+
+    def _choose_victims(self, job: Job, machine: Machine, now: float, *, elastic_only: bool) -> VictimChoice | None:
+        """The attempts of lowest rank and least loss whose end lets one task fit; None when that is not enough."""
+        resources = job.spec.resources
+        free = self.capacity.on(machine)
+        if resources.fits(free):
+            return VictimChoice(0.0, [])
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        for attempt in attempts:
+            if attempt.stop_grace_s is not None:  # it is being stopped already
+                free = free + attempt.job.spec.resources
+        stoppable = [
+            attempt
+            for attempt in attempts
+            if attempt.stop_grace_s is None
+            and (not elastic_only or self.policy.is_elastic(attempt.job))
+            and self.policy.may_preempt(job, attempt, now)
+        ]
+        obtainable = free
+        for attempt in stoppable:
+            obtainable = obtainable + attempt.job.spec.resources
+        if not resources.fits(obtainable):
+            return None
+        total_loss = 0.0
+        victims: list[TaskAttempt] = []
+        # keys of attempts are unique, so that the attempts themselves are never compared
+        ranked = [(self.queue.rank(one.job), self._loss(one, now), one.key, one) for one in stoppable]
+        for _, loss_s, _, attempt in sorted(ranked):
+            if resources.fits(free):
+                break
+            free = free + attempt.job.spec.resources
+            total_loss += loss_s
+            victims.append(attempt)
+        return VictimChoice(total_loss, victims)
+
+    def _loss(self, victim: TaskAttempt, now: float) -> float:
+        """Seconds of work lost when this task is stopped, over its whole gang."""
+        spec = victim.job.spec
+        can_save = spec.checkpoint > 0 and victim.state is TaskState.RUNNING
+        lost = spec.save if can_save else now - victim.placed_at  # a fetch that is broken off is lost too
+        machine = self.inventory.machines.get(victim.machine)
+        restart = image_fetch_time(spec, machine.type) if machine is not None else 0.0
+        count = victim.job.attempt_count if spec.kind is JobKind.GANG else 1
+        return (lost + restart) * count * max(1.0, spec.resources.gpus)
+
+
+def _cheapest(options: list[PlannedMachine], wanted: int, zones: ZoneConstraint) -> PreemptionPlan:
+    """The first options, up to ``wanted``, that the zones allow."""
+    entries: list[PlannedMachine] = []
+    total_cost = 0.0
+    for option in options:
+        if len(entries) == wanted:
+            break
+        if not zones.allows(option.machine.zone):
+            continue
+        zones.add(option.machine.zone)
+        total_cost += option.cost_s
+        entries.append(option)
+    return PreemptionPlan(entries, total_cost)
--- /dev/null
+++ b/src/passrock/core/preemption_policy.py
@@ -0,0 +1,65 @@
+"""Rules of preemption: which job may preempt which task."""
+
+from __future__ import annotations
+
+from passrock.core.graceful_stop import stopped_together
+from passrock.core.jobs import Job, TaskAttempt
+from passrock.core.model import NOTHING, Priority
+from passrock.core.scheduler import Scheduler
+
+START_COUNTS_AFTER_S = 30.0  # a start counts for its user once the task was left to run for this long
+
+
+class PreemptionPolicy:
+    """Says who may be preempted, by rank, guarantee and how long a task has been running."""
+
+    def __init__(self, scheduler: Scheduler) -> None:
+        self.scheduler = scheduler
+        self.queue = scheduler.queue
+        self.job_table = scheduler.job_table
+
+    def can_preempt(self, job: Job) -> bool:
+        """Whether a job of this class preempts others at all."""
+        return job.spec.priority >= Priority.HIGH or self.queue.is_guaranteed(job)
+
+    def may_preempt(self, job: Job, victim: TaskAttempt, now: float) -> bool:
+        """Whether the job may preempt the task: by higher priority, or as the task is beyond another guarantee."""
+        other = victim.job
+        if other.spec.id in self.scheduler.overrides.protected_from_preemption:
+            return False
+        if other is job or other.cancelled or self.queue.rank(job) <= self.queue.rank(other):
+            return False
+        at_once = job.spec.priority is Priority.PRODUCTION or self._is_revocable(victim, job)
+        if not at_once and not self._start_counts(victim, now):
+            return False
+        if other.spec.priority < job.spec.priority:
+            return True
+        beyond_guarantee = self.queue.is_guaranteed(job) and not self.queue.is_guaranteed(other)
+        return beyond_guarantee and other.spec.team != job.spec.team
+
+    def is_elastic(self, job: Job) -> bool:
+        """Whether a job uses what others leave: low-priority work of a team without a guarantee (RAS §3.4)."""
+        team = self.scheduler.teams.get(job.spec.team)
+        return team is not None and not team.has_guarantee and job.spec.priority is Priority.LOW
+
+    def has_elastic_work(self) -> bool:
+        """Whether any team without a guarantee uses machines at the moment."""
+        return any(
+            not team.has_guarantee and self.job_table.usage.get(team.name, NOTHING) != NOTHING
+            for team in self.scheduler.teams.values()
+        )
+
+    def _is_revocable(self, victim: TaskAttempt, job: Job) -> bool:
+        """Whether a task gives way to a guaranteed job as soon as that needs the capacity."""
+        return self.queue.is_guaranteed(job) and self.is_elastic(victim.job)
+
+    def _start_counts(self, victim: TaskAttempt, now: float) -> bool:
+        """Whether a task, or its whole gang, has run long enough for its start to count.
+
+        Stopping a job that is still fetching, or has just begun, gave one job its start by taking those of
+        several others; the images they had fetched were fetched again for the freed capacity.
+        """
+        return all(
+            attempt.running_since is not None and now - attempt.running_since > START_COUNTS_AFTER_S
+            for attempt in stopped_together(victim)
+        )
--- /dev/null
+++ b/src/passrock/core/quota.py
@@ -0,0 +1,54 @@
+"""Team quotas: what each team uses and demands, against its limit."""
+
+from __future__ import annotations
+
+from passrock.core.inventory import MachineInventory
+from passrock.core.jobs import Job, JobTable
+from passrock.core.model import NOTHING, Resources, Team
+
+
+class TeamQuotas:
+    """Usage and demand of the teams; orphans count as usage, since they may still be running."""
+
+    def __init__(self, job_table: JobTable, inventory: MachineInventory, teams: dict[str, Team]) -> None:
+        self.job_table = job_table
+        self.inventory = inventory
+        self.teams = teams
+        self._orphans: set[tuple[str, int]] = set()
+        self._orphan_usage: dict[str, Resources] = {}
+
+    def count_orphans(self) -> None:
+        """Take the orphans as the machines report them now, for the pass that begins."""
+        self._orphans = set()
+        self._orphan_usage = {}
+        for machine in self.inventory.machines.values():
+            for (job_id, index), resources in machine.orphans.items():
+                self._orphans.add((job_id, index))
+                job = self.job_table.jobs.get(job_id)
+                if job is not None:
+                    team = job.spec.team
+                    self._orphan_usage[team] = self._orphan_usage.get(team, NOTHING) + resources
+
+    def is_orphaned(self, job: Job, index: int) -> bool:
+        """Whether an orphan of this task may still be running."""
+        return (job.spec.id, index) in self._orphans
+
+    def has_orphans(self, job: Job) -> bool:
+        """Whether an orphan of any of the job's tasks may still be running."""
+        return any(job_id == job.spec.id for job_id, _ in self._orphans)
+
+    def allows(self, job: Job, count: int) -> bool:
+        """Whether the team's limit allows ``count`` more tasks of the job."""
+        team = self.teams.get(job.spec.team)
+        if team is None:
+            return False  # its limit isn't known since the team was taken out of the settings; the job stays known
+        used = self.job_table.usage.get(team.name, NOTHING) + self._orphan_usage.get(team.name, NOTHING)
+        return team.within_limit(used + job.spec.resources.times(count))
+
+    def demand(self, team: str) -> Resources:
+        """What all unfinished jobs of a team ask for."""
+        total = NOTHING
+        for job in self.job_table.jobs.values():
+            if job.spec.team == team and not job.cancelled:
+                total = total + job.spec.resources.times(job.spec.tasks - job.done_count)
+        return total
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -61,7 +61,7 @@
             offer
             for offer in found
             if self.refused.get(offer, 0.0) <= now
-            and (offer.spot or not job.spec.spot or objectives.presses(job, self.types[offer.type], now))
+            and (offer.spot or not job.spec.spot or objectives.too_urgent_for_spot(job, self.types[offer.type], now))
         ]
         return sorted(open_ones, key=lambda offer: (self.price(offer), offer.zone))
 
--- /dev/null
+++ b/src/passrock/core/starvation_holds.py
@@ -0,0 +1,106 @@
+"""Holds for starving jobs: machines kept free until all that a job needs are free at one time."""
+
+from __future__ import annotations
+
+from heapq import nsmallest
+
+import msgspec
+
+from passrock.core.capacity_forecast import CapacityForecast
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.inventory import Machine
+from passrock.core.job_queue import JobQueue
+from passrock.core.jobs import Job
+from passrock.core.machine_holds import MachineHolds
+from passrock.core.model import JobKind
+from passrock.core.objectives import ServiceLevelObjectives
+from passrock.core.quota import TeamQuotas
+
+HOLD_STOP_LATENCIES = 2  # a hold lasts for so many stop latencies, unless it is renewed
+HELD_BONUS_STOP_LATENCIES = 5  # so much longer a wait is accepted for each machine that is held already
+INCOMPLETE_PENALTY_S = 1e6  # zones with too few machines come after all others
+
+
+class HoldCandidate(msgspec.Struct, frozen=True):
+    """A machine that may be held, and in how many seconds it is likely to be free."""
+
+    machine: Machine
+    wait_s: float
+    held_already: bool
+
+    def sort_key(self) -> tuple[float, bool, str]:
+        """The shortest wait first, then machines that are held already, then by name."""
+        return self.wait_s, not self.held_already, self.machine.name
+
+
+class StarvationHolds:
+    """Holds machines for gangs that starve, and one for a job that fair admission has prioritized."""
+
+    def __init__(
+        self,
+        queue: JobQueue,
+        objectives: ServiceLevelObjectives,
+        quotas: TeamQuotas,
+        capacity: FreeCapacity,
+        holds: MachineHolds,
+        forecast: CapacityForecast,
+        stop_latency_s: float,
+    ) -> None:
+        self.queue = queue
+        self.objectives = objectives
+        self.quotas = quotas
+        self.capacity = capacity
+        self.holds = holds
+        self.forecast = forecast
+        self.stop_latency_s = stop_latency_s
+
+    def renew(self, job: Job, now: float) -> None:
+        """Hold the machines that are likely to be free for the job first, if it has waited long enough.
+
+        Smaller jobs took each machine as it came free or up, so that a large gang never saw all it needs at
+        one time. What runs on the machines ends by itself or is preempted where the rules of preemption
+        allow it; machines that boot are added as they come up.
+        """
+        wanted = job.spec.tasks if job.spec.kind is JobKind.GANG else 1
+        goes_first = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
+        if not goes_first or not self.quotas.allows(job, wanted):
+            return
+        held_already = self.holds.machines_of(job)
+        held_for_others = len(self.holds) - len(held_already)
+        if held_for_others > 0 and 2 * (held_for_others + wanted) > len(self.capacity.schedulable):
+            return  # holds of others already are a large part of the fleet: one after the other
+        chosen = self._choose(job, wanted, held_already, now)
+        for name in held_already:
+            self.holds.release(name)
+        for machine in chosen:
+            self.holds.hold(machine, job, now + HOLD_STOP_LATENCIES * self.stop_latency_s)
+
+    def _choose(self, job: Job, wanted: int, held_already: set[str], now: float) -> list[Machine]:
+        """The machines of the zone in which the job is likely to start first."""
+        best_score: float | None = None
+        best: list[HoldCandidate] = []
+        for zone in self.capacity.zones_to_try(job.spec):
+            candidates = self._candidates(job, zone, held_already, now)
+            chosen = nsmallest(wanted, candidates, key=HoldCandidate.sort_key)
+            if not chosen:
+                continue
+            held_count = sum(candidate.held_already for candidate in chosen)
+            wait = chosen[-1].wait_s - HELD_BONUS_STOP_LATENCIES * self.stop_latency_s * held_count
+            score = INCOMPLETE_PENALTY_S * (len(chosen) < wanted) + wait
+            if best_score is None or score < best_score:
+                best_score, best = score, chosen
+        return [candidate.machine for candidate in best]
+
+    def _candidates(self, job: Job, zone: str | None, held_already: set[str], now: float) -> list[HoldCandidate]:
+        spec = job.spec
+        candidates = []
+        for machine in self.capacity.schedulable:
+            if (zone is not None and machine.zone != zone) or not self.holds.allows(job, machine):
+                continue
+            if not spec.allows(machine.type.name, machine.zone, machine.spot):
+                continue
+            if not spec.resources.fits(machine.type.size):
+                continue
+            wait_s = self.forecast.seconds_until_free(machine, spec.resources, now)
+            candidates.append(HoldCandidate(machine, wait_s, machine.name in held_already))
+        return candidates
--- /dev/null
+++ b/src/passrock/core/task_placement.py
@@ -0,0 +1,108 @@
+"""Placement of tasks that start one by one: those of arrays, and replicas of services."""
+
+from __future__ import annotations
+
+from heapq import heappop
+from typing import NamedTuple
+
+from passrock.core.free_capacity import FreeCapacity
+from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine_holds import MachineHolds
+from passrock.core.machine_scoring import Candidate, MachineScorer, may_wait_for_spot
+from passrock.core.model import JobKind, JobSpec, Resources
+from passrock.core.quota import TeamQuotas
+from passrock.core.zone_constraint import ZoneConstraint
+
+MAX_TASKS_PER_PASS = 64  # of one job, so that no pass takes long; the next pass follows at once
+
+
+class TaskShape(NamedTuple):
+    """What decides where a task fits; tasks of one shape are unschedulable together."""
+
+    resources: Resources
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+    kind: JobKind
+
+    @classmethod
+    def of(cls, spec: JobSpec) -> TaskShape:
+        """The shape of a job's tasks."""
+        return cls(spec.resources, spec.types, spec.zone, spec.spot, spec.kind)
+
+
+class TaskPlacement:
+    """Places as many of a job's waiting tasks as fit.
+
+    Attributes:
+        truncated: whether this pass has left tasks of a job that it would have placed.
+    """
+
+    def __init__(
+        self,
+        job_table: JobTable,
+        quotas: TeamQuotas,
+        capacity: FreeCapacity,
+        holds: MachineHolds,
+        scorer: MachineScorer,
+    ) -> None:
+        self.job_table = job_table
+        self.quotas = quotas
+        self.capacity = capacity
+        self.holds = holds
+        self.scorer = scorer
+        self.truncated = False
+        self._unschedulable_shapes: set[TaskShape] = set()
+
+    def begin_pass(self) -> None:
+        """Drop what the last pass found."""
+        self.truncated = False
+        self._unschedulable_shapes = set()
+
+    def place(self, job: Job, now: float, *, max_tasks: int = MAX_TASKS_PER_PASS) -> list[TaskAttempt]:
+        """Start up to ``max_tasks`` of the job's tasks; returns their attempts."""
+        spec = job.spec
+        shape = TaskShape.of(spec)
+        if shape in self._unschedulable_shapes and not self.holds.exist_for(job):
+            return []
+        zones = ZoneConstraint.of(job, self.capacity.inventory)
+        if zones.has_unknown_zone or not self.quotas.allows(job, 1):
+            return []
+        # what stops a job with tasks in some zones, or one that waits for spot, may not stop others of its shape
+        is_typical = not zones.counts and not may_wait_for_spot(spec)
+        heap = self.scorer.candidate_heap(job, zones.required_zone, now)
+        if not heap:
+            if is_typical:
+                self._unschedulable_shapes.add(shape)
+            return []
+        started: list[TaskAttempt] = []
+        for index in job.next_waiting(max_tasks):
+            if self.quotas.is_orphaned(job, index):
+                continue
+            if not self.quotas.allows(job, 1):
+                break
+            _drop_forbidden_zones(heap, zones)
+            if not heap:
+                if is_typical and not zones.counts:
+                    self._unschedulable_shapes.add(shape)
+                break
+            started.append(self._start_on_cheapest(job, index, heap, zones, now))
+        self.truncated = self.truncated or len(started) == MAX_TASKS_PER_PASS
+        job.advance()
+        return started
+
+    def _start_on_cheapest(
+        self, job: Job, index: int, heap: list[Candidate], zones: ZoneConstraint, now: float
+    ) -> TaskAttempt:
+        _, _, machine = heappop(heap)
+        self.capacity.allocate(machine, job.spec.resources)
+        zones.add(machine.zone)
+        attempt = self.job_table.start(job, index, machine, job.next_attempt_number(index), now)
+        self.scorer.push_back(heap, job, machine)
+        return attempt
+
+
+def _drop_forbidden_zones(heap: list[Candidate], zones: ZoneConstraint) -> None:
+    """Pop machines until the cheapest is in a zone that may take one more task."""
+    while heap and not zones.allows(heap[0][2].zone):
+        heappop(heap)
--- /dev/null
+++ b/src/passrock/core/zone_constraint.py
@@ -0,0 +1,47 @@
+"""Zones that further tasks of a job may use, given where its tasks are already."""
+
+from __future__ import annotations
+
+from passrock.core.inventory import MachineInventory
+from passrock.core.jobs import Job
+from passrock.core.model import JobSpec
+
+UNKNOWN_ZONE = "?"  # what Job.zone_counts says of a machine that isn't in the inventory
+
+
+class ZoneConstraint:
+    """Counts a job's tasks by zone, as far as the job is bound to one zone or spread over several."""
+
+    def __init__(self, spec: JobSpec, counts: dict[str, int]) -> None:
+        self.spec = spec
+        self.counts = counts if spec.one_zone or spec.spread else {}
+
+    @classmethod
+    def of(cls, job: Job, inventory: MachineInventory) -> ZoneConstraint:
+        """The constraint by the tasks that are or may be on machines."""
+        return cls(job.spec, job.zone_counts(inventory) if job.spec.one_zone or job.spec.spread else {})
+
+    def copy(self) -> ZoneConstraint:
+        """A constraint of its own for a trial."""
+        return ZoneConstraint(self.spec, dict(self.counts))
+
+    @property
+    def has_unknown_zone(self) -> bool:
+        """Whether a task is somewhere that is not known yet."""
+        return UNKNOWN_ZONE in self.counts
+
+    @property
+    def required_zone(self) -> str | None:
+        """The zone where all further tasks must go, when the job is bound to one and has tasks there."""
+        return next(iter(self.counts)) if self.spec.one_zone and self.counts else None
+
+    def allows(self, zone: str) -> bool:
+        """Whether one more task may go to the zone."""
+        if self.spec.spread and self.counts.get(zone, 0) >= self.spec.zone_cap():
+            return False
+        return not (self.spec.one_zone and self.counts and zone not in self.counts)
+
+    def add(self, zone: str) -> None:
+        """Count one more task in the zone."""
+        if self.spec.one_zone or self.spec.spread:
+            self.counts[zone] = self.counts.get(zone, 0) + 1
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -10,14 +10,14 @@
 
 BOX = MachineType("box", Resources(16, 2, 64), 100.0, 1.0, 5.0, 1.5, 10.0, ("a", "b", "c"))
 TEAMS = {name: Team(name, 0, 0, 4, 8) for name in ("t0", "t1")}
-AIMS = ServiceLevelObjectives(
+OBJECTIVES = ServiceLevelObjectives(
     (
         Objective("wait", "soon", 30.0, 0.9),
         Objective("finished", "soon", 200.0, 0.9),
         Objective("wait", "late", 300, 0.9),
         Objective("wait", "now", 6.0, 0.9),
     ),
-    keep_after=50.0,
+    starvation_threshold_s=50.0,
 )
 TERM = 5
 
@@ -47,12 +47,12 @@
 
 
 class SchedulerHarness:
-    """A book, a fleet and a placer, without a controller."""
+    """A job table, an inventory and a scheduler, without a controller."""
 
-    def __init__(self, machines=(("m1", "a", False),), page=50):
+    def __init__(self, machines=(("m1", "a", False),), page=50, teams=TEAMS):
         self.job_table = JobTable(page)
         self.inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, TERM)
-        self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, AIMS)
+        self.scheduler = Scheduler(self.job_table, self.inventory, teams, {}, OBJECTIVES)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
         for name, zone, spot in machines:
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -100,11 +100,11 @@
         leader = cluster.nodes[await cluster.a_leader()].node
         outcomes = leader.admission._deciding is not None
         waits = {wait.flow.job_class: wait for wait in leader.leader_term.on_evaluated.__self__.waits}
-        return outcomes, waits["kept"].obstacle.value, leader.term.scheduler.favoured
+        return outcomes, waits["kept"].obstacle.value, leader.leader_term.scheduler.overrides.prioritized
 
-    outcomes, found, favoured = virtual_time.run(main())
+    outcomes, found, prioritized = virtual_time.run(main())
     assert outcomes and found == obstacle
-    assert "wk-600000" not in favoured
+    assert "wk-600000" not in prioritized
 
 
 def test_a_team_that_is_taken_out_while_its_work_waits():
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -47,7 +47,7 @@
     cluster = await quiet_fleet()
     leader = cluster.nodes[await cluster.a_leader()].node
     scheduler = leader.leader_term.scheduler
-    standings, requests = scheduler.guaranteed, []
+    standings, requests = scheduler.queue.guaranteed, []
     handle = cluster.state.handle
 
     async def counted(method, path, body):
@@ -60,7 +60,7 @@
     assert (
         leader.leader_term.evaluations.count > evaluations and cluster.checker.starts >= 30
     )  # the minute was one of a leader with work placed
-    return requests, standings is scheduler.guaranteed
+    return requests, standings is scheduler.queue.guaranteed
 
 
 def test_a_quiet_minute_writes_nothing_and_reckons_no_standings():
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,17 +1,17 @@
-"""Preemption: who gives way to whom, and how tasks are stopped."""
+"""Preemption: which tasks are preempted for which jobs, and how they are stopped."""
 
 import pytest
 
 from builders import BOX, TEAMS, SchedulerHarness
+from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, Priority, Resources, Team
-from passrock.core.preemption import stop_softly
 
-EXITED = TaskState.EXITED
+TEAMS_AND_GUEST = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}  # the guest has no guarantee
 
 
 @pytest.mark.parametrize(
-    ("victim", "job", "displaced"),
+    ("victim", "job", "preempted"),
     [
         ({"priority": Priority.LOW}, {"priority": Priority.PRODUCTION}, True),
         ({"priority": Priority.PRODUCTION}, {"priority": Priority.PRODUCTION}, False),
@@ -20,7 +20,7 @@
         ({"tasks": 6, "team": "t0"}, {"priority": Priority.NORMAL, "team": "t0"}, False),
     ],
 )
-def test_preemption_has_reasons(victim, job, displaced):
+def test_preemption_has_reasons(victim, job, preempted):
     harness = SchedulerHarness()
     harness.job(1, resources=Resources(5, 1, 20), **victim)
     harness.run()
@@ -34,14 +34,16 @@
     harness.inventory.machines["m1"].used = BOX.size
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
-        assert not harness.preemption.make_room(waiting, 1.0)  # a start that does not count yet is not taken back
+        assert not harness.preemption.select_victims(
+            waiting, 1.0
+        )  # a start that does not count yet is not taken back
         for attempt in harness.job_table.attempts_by_machine["m1"].values():
             attempt.running_since = -60.0
-    assert bool(harness.preemption.make_room(waiting, 1.0)) is displaced
+    assert bool(harness.preemption.select_victims(waiting, 1.0)) is preempted
 
 
-def test_a_displaced_gang_is_stopped_whole():
-    """Every mate is told to stop with time to save, also those on machines that nobody asked for."""
+def test_a_preempted_gang_is_stopped_whole():
+    """Every member is asked to stop with time to save, also those on machines that nobody needs."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     gang = harness.job(
         1, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), team="t1", checkpoint=5.0, save=3.0
@@ -51,12 +53,12 @@
         attempt.state, attempt.reported = TaskState.RUNNING, True
     replica = harness.job(2, priority=Priority.PRODUCTION, at=1.0)
     harness.run(1.0)
-    victims = harness.preemption.make_room(replica, 1.0)
+    victims = harness.preemption.select_victims(replica, 1.0)
     assert {attempt.machine for attempt in victims} == {"m1", "m2"}
     for attempt in victims:
-        stop_softly(attempt, 6.0)
+        stop_gracefully(attempt, 6.0)
     assert [attempt.stop_grace_s for attempt in gang.attempts()] == [6.0, 6.0]
-    assert harness.preemption.make_room(replica, 2.0) == []  # one set of victims at a time
+    assert harness.preemption.select_victims(replica, 2.0) == []  # one set of victims at a time
 
 
 ELASTIC = [
@@ -73,8 +75,7 @@
 )
 def test_elastic_work_is_revoked_at_once(name, team, priority, kind, tasks, revoked):
     """Guaranteed gangs waited for a minute beside machines full of work of a team without a guarantee."""
-    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)])
-    harness.scheduler.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
+    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_AND_GUEST)
     harness.job(
         1, team=team, priority=priority, tasks=4 * tasks, resources=Resources(4, 0, 10), checkpoint=30.0, save=3.0
     )
@@ -83,17 +84,16 @@
         2, at=1.0, kind=kind, tasks=tasks, resources=Resources(14, 2, 50), priority=Priority.HIGH, job_class="late"
     )
     assert harness.run(1.0) == []
-    victims = harness.preemption.make_room(gang, 1.0, early=True)
+    victims = harness.preemption.select_victims(gang, 1.0, elastic_only=True)
     assert (len(victims) == 4 * tasks) is revoked and bool(victims) is revoked
-    assert harness.preemption.stopping_for(gang) is False  # until they are told
+    assert harness.preemption.is_stopping_for(gang) is False  # until they are asked to stop
 
 
-def test_elastic_work_is_left_alone_when_its_room_is_not_enough():
-    harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
-    harness.scheduler.teams = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}
+def test_elastic_work_is_left_alone_when_its_capacity_is_not_enough():
+    harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)], teams=TEAMS_AND_GUEST)
     harness.job(1, team="t1", priority=Priority.HIGH, tasks=1, resources=Resources(16, 2, 60))
     harness.run()
     harness.job(2, team="guest", priority=Priority.LOW, tasks=4, resources=Resources(4, 0, 10))
     harness.run()
     gang = harness.job(3, at=1.0, kind=JobKind.GANG, tasks=2, resources=Resources(14, 2, 50), priority=Priority.HIGH)
-    assert harness.run(1.0) == [] and harness.preemption.make_room(gang, 1.0) == []
+    assert harness.run(1.0) == [] and harness.preemption.select_victims(gang, 1.0) == []
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -3,9 +3,9 @@
 import pytest
 
 from builders import BOX, TERM, SchedulerHarness, heartbeat, row
+from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.messages import Op, TaskState
 from passrock.core.model import JobKind, Resources
-from passrock.core.preemption import stop_softly
 from passrock.core.reconciler import Reconciler
 
 EXITED = TaskState.EXITED
@@ -222,7 +222,7 @@
     harness, job, reconciler = placed_harness(checkpoint=5.0, save=3.0)
     attempt = next(job.attempts())
     handle(harness, reconciler, sequence=3, tasks=[row()])
-    stop_softly(attempt, 6.0)
+    stop_gracefully(attempt, 6.0)
     assert [(c.op, c.grace) for c in handle(harness, reconciler, sequence=4, tasks=[row()])] == [(Op.STOP, 6.0)]
     saving = [row(state=TaskState.SAVING)]
     assert handle(harness, reconciler, sequence=5, tasks=saving) == []  # a second stop would end the saving
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from builders import AIMS, BOX, TEAMS, SchedulerHarness, spec
+from builders import BOX, OBJECTIVES, TEAMS, SchedulerHarness, spec
 from passrock.core.budget import Budget
 from passrock.core.limiter import Limiter
 from passrock.core.messages import TaskState
@@ -28,13 +28,13 @@
     harness = SchedulerHarness([])
     for number, fields in enumerate(jobs):
         harness.job(number, **fields)
-    queue = harness.scheduler.queue(0.0)
+    queue = harness.scheduler.queue.ordered(0.0)
     catalog = MachineCatalog({"box": BOX})
-    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 0.0) == wanted
+    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, OBJECTIVES, 0.0) == wanted
     for offer in wanted:  # machines on their way are enough
         for i in range(wanted[offer]):
             harness.inventory.add(f"new{i}", BOX, offer.zone, offer.spot, 0.0)
-    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 0.0) == {}
+    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, OBJECTIVES, 0.0) == {}
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
     teams = {"free": Team("free", 0, 0, 0, 0)}
     catalog = MachineCatalog({"box": BOX})
     wanted = plan_scale_out(
-        list(harness.job_table.jobs.values()), harness.job_table, harness.inventory, teams, catalog, AIMS, 0.0
+        list(harness.job_table.jobs.values()), harness.job_table, harness.inventory, teams, catalog, OBJECTIVES, 0.0
     )
     assert sum(wanted.values()) == machines
 
@@ -63,13 +63,13 @@
     catalog = MachineCatalog({"box": BOX})
     for zone in BOX.zones:
         catalog.refuse(Offer("box", zone, True), 50.0)
-    queue = harness.scheduler.queue(0.0)
-    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 0.0) == {}
-    late = plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 285.0)
+    queue = harness.scheduler.queue.ordered(0.0)
+    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, OBJECTIVES, 0.0) == {}
+    late = plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, OBJECTIVES, 285.0)
     assert late == {Offer("box", "a", True): 1}  # no longer refused by then
     for zone in BOX.zones:
         catalog.refuse(Offer("box", zone, True), 500.0)
-    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 285.0) == {
+    assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, OBJECTIVES, 285.0) == {
         Offer("box", "a", False): 1
     }
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,16 +1,12 @@
-"""Placement: queue order, fit and cost, gangs, images, room kept for what has waited long."""
+"""Scheduling: queue order, fit and cost, gangs, images, machines held for starving jobs."""
 
 import pytest
 
 from builders import BOX, SchedulerHarness, spec
 from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import TaskState
 from passrock.core.model import NOTHING, JobKind, Priority, Resources
 from passrock.core.records import tasks_per_page
 
-EXITED = TaskState.EXITED
-
-
 # job fields, machines (name, zone, spot), tasks expected to be placed
 PLACES = [
     ({"tasks": 3}, [("m1", "a", False)], 2),
@@ -36,7 +32,7 @@
     assert len(harness.run()) == count
 
 
-def test_strays_count_against_limits_and_their_task():
+def test_orphans_count_against_limits_and_their_task():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     harness.job()
     harness.inventory.machines["m2"].orphans = {("wk-1", 0): Resources(5, 1, 20)}
@@ -57,27 +53,27 @@
 @pytest.mark.parametrize(
     ("fields", "now", "machine"),
     [
-        ({"job_class": "late"}, 0.0, "cheap"),
-        ({"job_class": "late"}, 5.0, "cheap"),
-        ({"job_class": "none"}, 5.0, "cheap"),
-        ({"job_class": "none"}, 60.0, "dear"),  # no aim, but it has waited for longer than keep_after
-        ({"job_class": "soon"}, 15.0, "dear"),
-        ({"job_class": "late", "kind": JobKind.GANG}, 5.0, "dear"),
+        ({"job_class": "late"}, 0.0, "spot"),
+        ({"job_class": "late"}, 5.0, "spot"),
+        ({"job_class": "none"}, 5.0, "spot"),
+        ({"job_class": "none"}, 60.0, "on-demand"),  # no objective, but it is starving
+        ({"job_class": "soon"}, 15.0, "on-demand"),
+        ({"job_class": "late", "kind": JobKind.GANG}, 5.0, "on-demand"),
     ],
 )
-def test_patient_arrays_leave_dear_machines(fields, now, machine):
-    """They took ordinary machines for minutes, and gangs that may use no others waited beside cheap room."""
-    harness = SchedulerHarness([("dear", "a", False), ("cheap", "a", True)])
-    if machine == "dear" or now:
-        harness.inventory.machines["cheap"].notice_until = 1.0
+def test_arrays_that_can_wait_for_spot_leave_on_demand_machines(fields, now, machine):
+    """They took ordinary machines for minutes, and gangs that may use no others waited beside free spot instances."""
+    harness = SchedulerHarness([("on-demand", "a", False), ("spot", "a", True)])
+    if machine == "on-demand" or now:
+        harness.inventory.machines["spot"].notice_until = 1.0
     harness.job(1, spot=True, **fields)
     harness.refresh(now)
     placed = [name for _, _, name in harness.run(now)]
-    assert placed == ([machine] if machine == "dear" or not now else [])
+    assert placed == ([machine] if machine == "on-demand" or not now else [])
 
 
 def test_replicas_share_machines():
-    """One to a machine, they stranded half of each for as long as they ran."""
+    """One to a machine, they fragmented half of each for as long as they ran."""
     harness = SchedulerHarness([(f"m{i}", "a", False) for i in range(4)])
     harness.job(1, kind=JobKind.SERVICE, tasks=4, priority=Priority.PRODUCTION)
     assert len({machine for _, _, machine in harness.run()}) == 2
@@ -94,8 +90,8 @@
     assert harness.inventory.machines["m1"].fetch_harm(spec(3, image="one")) == 0.0
 
 
-def test_an_aim_that_the_fetch_would_miss_does_not_count():
-    """Jobs with large images took room for an aim that was lost to them, before those that could meet it."""
+def test_an_objective_that_the_fetch_would_miss_does_not_count():
+    """Jobs with large images went first for an objective that was lost to them, before those that could meet it."""
     harness = SchedulerHarness()
     for number, gb in (
         (1, 1.0),
@@ -104,8 +100,8 @@
     ):  # at 1 GB a second, with 30 s from the submission to the start
         harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=gb, at=0.1 * number)
     harness.run(0.4)
-    harness.scheduler.find_guaranteed()
-    assert [job.spec.id for job in harness.scheduler.queue(0.5)] == ["wk-3", "wk-1", "wk-2"]
+    harness.scheduler.queue.update_guaranteed()
+    assert [job.spec.id for job in harness.scheduler.queue.ordered(0.5)] == ["wk-3", "wk-1", "wk-2"]
 
 
 def test_queue_order():
@@ -114,11 +110,11 @@
     harness.job(2, job_class="late", at=1.0)
     harness.job(3, job_class="soon", at=2.0)
     harness.job(4, priority=Priority.PRODUCTION, at=3.0)
-    harness.scheduler.find_guaranteed()
-    assert [job.spec.id for job in harness.scheduler.queue(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
+    harness.scheduler.queue.update_guaranteed()
+    assert [job.spec.id for job in harness.scheduler.queue.ordered(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
 
 
-def test_room_is_kept_for_a_gang_that_has_waited_long():
+def test_machines_are_held_for_a_starving_gang():
     """Small tasks took each machine as it came free, and the gang never saw two at once."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     small = [harness.job(n, team="t1", resources=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
@@ -136,7 +132,7 @@
         if {job for job, _, _ in harness.run(now)} == {"wk-9"}:
             break
         small = [job for job in small if job.attempt_count]
-    assert now == 70.0  # the first end after keep_after kept one machine, the second made it two
+    assert now == 70.0  # the first end after the starvation threshold had one machine held, the second made it two
 
 
 def test_huge_array_stays_inside_record_sizes():
