--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -59,4 +59,4 @@
         if spec.kind is JobKind.SERVICE:
             return max(OPEN_ENDED_S, self.stop_latency_s)
         run_time = now - (attempt.running_since or now)
-        return max(spec.estimate - run_time, self.stop_latency_s)
+        return max(spec.estimated_run_s - run_time, self.stop_latency_s)
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -61,7 +61,7 @@
 
     def zones_to_try(self, spec: JobSpec) -> list[str | None]:
         """The zones to try for a job without tasks so far; None stands for all zones together."""
-        return list(self.zones) if spec.one_zone else [None]
+        return list(self.zones) if spec.single_zone else [None]
 
     def longest_image_fetch(self, spec: JobSpec) -> float:
         """Seconds to fetch the job's image on the slowest type of the schedulable machines."""
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -21,13 +21,13 @@
     resources: Resources
     machine_types: tuple[str, ...] | None
     zone: str | None
-    spot: bool
-    one_zone: bool
+    allows_spot: bool
+    single_zone: bool
 
     @classmethod
     def of(cls, spec: JobSpec) -> GangShape:
         """The shape of a gang."""
-        return cls(spec.resources, spec.types, spec.zone, spec.spot, spec.one_zone)
+        return cls(spec.resources, spec.types, spec.zone, spec.allows_spot, spec.single_zone)
 
 
 class GangOption(NamedTuple):
--- a/src/passrock/core/graceful_stop.py
+++ b/src/passrock/core/graceful_stop.py
@@ -22,12 +22,12 @@
         min_grace_s: the least time in seconds for a running task with checkpoints to save; others get none.
     """
     if attempt.stop_grace_s is None:
-        can_save = attempt.job.spec.checkpoint > 0 and attempt.state is TaskState.RUNNING
-        attempt.stop_grace_s = max(min_grace_s, attempt.job.spec.save) if can_save else 0.0
+        can_save = attempt.job.spec.checkpoint_interval_s > 0 and attempt.state is TaskState.RUNNING
+        attempt.stop_grace_s = max(min_grace_s, attempt.job.spec.checkpoint_save_s) if can_save else 0.0
 
 
 def drain_machine(job_table: JobTable, machine_name: str) -> None:
     """Ask everything on a machine to save and end."""
     for attempt in list(job_table.attempts_by_machine.get(machine_name, {}).values()):
         for member in list(stopped_together(attempt)):
-            stop_gracefully(member, member.job.spec.save)
+            stop_gracefully(member, member.job.spec.checkpoint_save_s)
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -8,7 +8,7 @@
 
 from passrock.core.free_capacity import FreeCapacity
 from passrock.core.jobs import Job, JobTable
-from passrock.core.model import NOTHING, JobKind, Priority, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, JobKind, Priority, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
 NO_OBJECTIVE_S = 1e9  # jobs without an objective that they can still meet come after all others, oldest first
@@ -81,7 +81,7 @@
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
-            total = demand.get(team.name, NOTHING) + job.spec.resources.times(job.spec.tasks - job.done_count)
+            total = demand.get(team.name, ZERO_RESOURCES) + job.spec.resources.scaled(job.spec.tasks - job.done_count)
             demand[team.name] = total
             if team.within_guarantee(total):
                 self.guaranteed.add(job.spec.id)
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -42,13 +42,13 @@
     def cost(self, job: Job, machine: Machine) -> float:
         """The cost in seconds of placing a task of the job on the machine."""
         spec = job.spec
-        free_share = (self.capacity.on(machine) - spec.resources).share_of(machine.type.size)
+        free_share = (self.capacity.on(machine) - spec.resources).dominant_share(machine.type.size)
         fetch_harm = machine.fetch_harm(spec)
         cost = machine.fetch_wait(spec) + fetch_harm + FREE_SHARE_COST * free_share
         team = self.assignments.get(machine.name)
         if team is not None and team != spec.team:
             cost += OTHER_RESERVATION_COST
-        if spec.spot and not machine.spot:
+        if spec.allows_spot and not machine.spot:
             cost += ON_DEMAND_COST
         if machine.name in job.avoid:
             cost += FAILED_HERE_COST
@@ -96,4 +96,4 @@
 
 def may_wait_for_spot(spec: JobSpec) -> bool:
     """Whether a job's tasks can wait for spot instances one by one, as far as its objectives leave it time."""
-    return spec.spot and spec.kind is JobKind.ARRAY
+    return spec.allows_spot and spec.kind is JobKind.ARRAY
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -73,10 +73,10 @@
             if earliest_start < job.order + within_s:
                 return job.order + within_s - image_fetch_s
         finish_limits = self._finish_limits.get(spec.job_class, [])
-        if spec.deadline is not None:
-            finish_limits = sorted([*finish_limits, spec.deadline])
+        if spec.deadline_s is not None:
+            finish_limits = sorted([*finish_limits, spec.deadline_s])
         for within_s in finish_limits:
-            start = job.order + within_s - spec.estimate * ESTIMATE_MARGIN
+            start = job.order + within_s - spec.estimated_run_s * ESTIMATE_MARGIN
             if earliest_start < start:
                 return start - image_fetch_s
         return None
--- a/src/passrock/core/preemption_policy.py
+++ b/src/passrock/core/preemption_policy.py
@@ -4,7 +4,7 @@
 
 from passrock.core.graceful_stop import stopped_together
 from passrock.core.jobs import Job, TaskAttempt
-from passrock.core.model import NOTHING, Priority
+from passrock.core.model import ZERO_RESOURCES, Priority
 from passrock.core.scheduler import Scheduler
 
 START_COUNTS_AFTER_S = 30.0  # a start counts for its user once the task was left to run for this long
@@ -45,7 +45,7 @@
     def has_elastic_work(self) -> bool:
         """Whether any team without a guarantee uses machines at the moment."""
         return any(
-            not team.has_guarantee and self.job_table.usage.get(team.name, NOTHING) != NOTHING
+            not team.has_guarantee and self.job_table.usage.get(team.name, ZERO_RESOURCES) != ZERO_RESOURCES
             for team in self.scheduler.teams.values()
         )
 
--- a/src/passrock/core/quota.py
+++ b/src/passrock/core/quota.py
@@ -4,7 +4,7 @@
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable
-from passrock.core.model import NOTHING, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, Resources, Team
 
 
 class TeamQuotas:
@@ -27,7 +27,7 @@
                 job = self.job_table.jobs.get(job_id)
                 if job is not None:
                     team = job.spec.team
-                    self._orphan_usage[team] = self._orphan_usage.get(team, NOTHING) + resources
+                    self._orphan_usage[team] = self._orphan_usage.get(team, ZERO_RESOURCES) + resources
 
     def is_orphaned(self, job: Job, index: int) -> bool:
         """Whether an orphan of this task may still be running."""
@@ -42,13 +42,13 @@
         team = self.teams.get(job.spec.team)
         if team is None:
             return False  # its limit isn't known since the team was taken out of the settings; the job stays known
-        used = self.job_table.usage.get(team.name, NOTHING) + self._orphan_usage.get(team.name, NOTHING)
-        return team.within_limit(used + job.spec.resources.times(count))
+        used = self.job_table.usage.get(team.name, ZERO_RESOURCES) + self._orphan_usage.get(team.name, ZERO_RESOURCES)
+        return team.within_limit(used + job.spec.resources.scaled(count))
 
     def demand(self, team: str) -> Resources:
         """What all unfinished jobs of a team ask for."""
-        total = NOTHING
+        total = ZERO_RESOURCES
         for job in self.job_table.jobs.values():
             if job.spec.team == team and not job.cancelled:
-                total = total + job.spec.resources.times(job.spec.tasks - job.done_count)
+                total = total + job.spec.resources.scaled(job.spec.tasks - job.done_count)
         return total
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -22,13 +22,13 @@
     resources: Resources
     machine_types: tuple[str, ...] | None
     zone: str | None
-    spot: bool
+    allows_spot: bool
     kind: JobKind
 
     @classmethod
     def of(cls, spec: JobSpec) -> TaskShape:
         """The shape of a job's tasks."""
-        return cls(spec.resources, spec.types, spec.zone, spec.spot, spec.kind)
+        return cls(spec.resources, spec.types, spec.zone, spec.allows_spot, spec.kind)
 
 
 class TaskPlacement:
--- a/src/passrock/core/zone_constraint.py
+++ b/src/passrock/core/zone_constraint.py
@@ -14,12 +14,12 @@
 
     def __init__(self, spec: JobSpec, counts: dict[str, int]) -> None:
         self.spec = spec
-        self.counts = counts if spec.one_zone or spec.spread else {}
+        self.counts = counts if spec.single_zone or spec.spread_zones else {}
 
     @classmethod
     def of(cls, job: Job, inventory: MachineInventory) -> ZoneConstraint:
         """The constraint by the tasks that are or may be on machines."""
-        return cls(job.spec, job.zone_counts(inventory) if job.spec.one_zone or job.spec.spread else {})
+        return cls(job.spec, job.zone_counts(inventory) if job.spec.single_zone or job.spec.spread_zones else {})
 
     def copy(self) -> ZoneConstraint:
         """A constraint of its own for a trial."""
@@ -33,15 +33,15 @@
     @property
     def required_zone(self) -> str | None:
         """The zone where all further tasks must go, when the job is bound to one and has tasks there."""
-        return next(iter(self.counts)) if self.spec.one_zone and self.counts else None
+        return next(iter(self.counts)) if self.spec.single_zone and self.counts else None
 
     def allows(self, zone: str) -> bool:
         """Whether one more task may go to the zone."""
-        if self.spec.spread and self.counts.get(zone, 0) >= self.spec.zone_cap():
+        if self.spec.spread_zones and self.counts.get(zone, 0) >= self.spec.zone_cap():
             return False
-        return not (self.spec.one_zone and self.counts and zone not in self.counts)
+        return not (self.spec.single_zone and self.counts and zone not in self.counts)
 
     def add(self, zone: str) -> None:
         """Count one more task in the zone."""
-        if self.spec.one_zone or self.spec.spread:
+        if self.spec.single_zone or self.spec.spread_zones:
             self.counts[zone] = self.counts.get(zone, 0) + 1
