--- a/src/passrock/controller/evaluations.py
+++ b/src/passrock/controller/evaluations.py
@@ -1,4 +1,4 @@
-"""Requests for an evaluation of all jobs and machines, and news of those that are over."""
+"""Signals between the evaluation loop and its surroundings: requests for an evaluation, and news of its progress."""
 
 from __future__ import annotations
 
@@ -6,40 +6,44 @@
 
 
 class Evaluations:
-    """Wakes the leader's evaluation loop, and those who wait for what it has decided."""
+    """Wakes the leader's evaluation loop, and whoever waits for what an evaluation decides.
+
+    Attributes:
+        finished_count: how many evaluations have finished in this term.
+    """
 
     def __init__(self) -> None:
-        self.count = 0  # how many are over
+        self.finished_count = 0
         self._requested = asyncio.Event()
-        self._progress = asyncio.Event()
+        self._progress = asyncio.Event()  # replaced at each progress, so that it wakes those who waited before
 
     def request(self) -> None:
-        """Something changed: evaluate again soon."""
+        """Ask for an evaluation, since something has changed; several requests are served by one."""
         self._requested.set()
 
-    async def requested(self, timeout: float) -> None:
-        """Wait for a request, but no longer than ``timeout``."""
-        await _happened(self._requested, timeout)
+    async def wait_for_request(self, timeout_s: float) -> None:
+        """Return at the next request, or after ``timeout_s`` without one."""
+        await _is_set_within(self._requested, timeout_s)
         self._requested.clear()
 
-    def finished(self) -> None:
-        """One evaluation is over."""
-        self.count += 1
-        self.progressed()
+    def note_finished(self) -> None:
+        """An evaluation has finished."""
+        self.finished_count += 1
+        self.note_progress()
 
-    def progressed(self) -> None:
-        """An evaluation or a commit is over: answers that wait for one go on."""
+    def note_progress(self) -> None:
+        """An evaluation has finished or its records are committed: answers that wait for either go on."""
         self._progress.set()
         self._progress = asyncio.Event()
 
-    async def progress(self, timeout: float) -> bool:
-        """Whether an evaluation or a commit ended within ``timeout``."""
-        return await _happened(self._progress, timeout)
+    async def wait_for_progress(self, timeout_s: float) -> bool:
+        """Whether an evaluation or a commit finishes within ``timeout_s``."""
+        return await _is_set_within(self._progress, timeout_s)
 
 
-async def _happened(event: asyncio.Event, timeout: float) -> bool:
+async def _is_set_within(event: asyncio.Event, timeout_s: float) -> bool:
     try:
-        async with asyncio.timeout(timeout):
+        async with asyncio.timeout(timeout_s):
             return await event.wait()
     except TimeoutError:
         return False
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -79,7 +79,7 @@
             attempts is not None
             and any(attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values())
         ):
-            return self._with_launches(machine, heartbeat, commands, self.evaluations.count)
+            return self._with_launches(machine, heartbeat, commands, self.evaluations.finished_count)
         return commands
 
     def _log_changes(self, machine: Machine, now: float) -> None:
@@ -103,9 +103,9 @@
         end = monotonic_time() + self.settings.report_s / 4
         while monotonic_time() < end:
             attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
-            if self.evaluations.count > before and all(map(self.job_table.attempt_committed, attempts)):
+            if self.evaluations.finished_count > before and all(map(self.job_table.attempt_committed, attempts)):
                 break
-            if not await self.evaluations.progress(end - monotonic_time()):
+            if not await self.evaluations.wait_for_progress(end - monotonic_time()):
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -73,7 +73,7 @@
             leadership.leader_revision,
             settings.txn_ops,
             on_final=replica.note_final,
-            on_commit=self.evaluations.progressed,
+            on_commit=self.evaluations.note_progress,
             on_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(settings, state, cloud, catalog, self.inventory, leadership)
@@ -140,7 +140,7 @@
         ]
         self.provisioner.resume(self.replica.with_prefix(keys.INTENT))
         while True:
-            await self.evaluations.requested(self.settings.report_s / 4)
+            await self.evaluations.wait_for_request(self.settings.report_s / 4)
             began = monotonic_time()
             self.evaluate()
             # an evaluation takes longer the more there is: it may have a part of the processor, never all of it
@@ -240,7 +240,7 @@
         self.rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
-        self.evaluations.finished()
+        self.evaluations.note_finished()
 
     def _preempt(self, queue: list[Job], now: float) -> None:
         for job in queue:
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -54,11 +54,8 @@
 
     def longest_save_s(self) -> float:
         """The longest time that a victim takes to save its checkpoint."""
-        victims = (victim for entry in self.entries for victim in entry.victims)
-        return max(
-            (victim.job.spec.checkpoint_save_s for victim in victims if victim.job.spec.checkpoint_interval_s > 0),
-            default=0.0,
-        )
+        specs = (victim.job.spec for entry in self.entries for victim in entry.victims)
+        return max((spec.checkpoint_save_s for spec in specs if spec.checkpoint_interval_s > 0), default=0.0)
 
 
 class PreemptionPlanner:
@@ -171,9 +168,7 @@
         """Seconds of work lost when this task is stopped, over its whole gang."""
         spec = victim.job.spec
         can_save = spec.checkpoint_interval_s > 0 and victim.state is TaskState.RUNNING
-        lost = (
-            spec.checkpoint_save_s if can_save else now - victim.placed_at
-        )  # a fetch that is broken off is lost too
+        lost = spec.checkpoint_save_s if can_save else now - victim.placed_at  # an unfinished fetch is lost too
         machine = self.inventory.machines.get(victim.machine)
         restart = image_fetch_time(spec, machine.type) if machine is not None else 0.0
         count = victim.job.attempt_count if spec.kind is JobKind.GANG else 1
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -55,10 +55,10 @@
         return await handle(method, path, body)
 
     cluster.state.handle = counted
-    evaluations = leader.leader_term.evaluations.count
+    evaluations = leader.leader_term.evaluations.finished_count
     await asyncio.sleep(QUIET_S)
     assert (
-        leader.leader_term.evaluations.count > evaluations and cluster.checker.starts >= 30
+        leader.leader_term.evaluations.finished_count > evaluations and cluster.checker.starts >= 30
     )  # the minute was one of a leader with work placed
     return requests, standings is scheduler.queue.guaranteed
 
