--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -28,8 +28,8 @@
         self.watch = watch
         self.window_s = window_s
         self.protect_s = protect_s
-        self.every_s = every_s  # between two looks at all waiting jobs
-        self._looked_at = -math.inf
+        self.every_s = every_s  # between two checks of all waiting jobs
+        self._last_check = -math.inf
         self.waits: list[FlowWait] = []
         self.starts: dict[Flow, int] = {}  # since they were last taken
         self._placed: list[TaskAttempt] = []  # attempts that have not been seen to run yet
@@ -39,10 +39,10 @@
     def evaluated(self, scheduler: Scheduler, started: Iterable[TaskAttempt], now: float) -> None:
         """One pass of placement is over; the next one follows what is set here."""
         today = time_of_day()
-        self._take_in(scheduler, started, today)
-        if now - self._looked_at < self.every_s:
+        self._protect_placed(scheduler, started, today)
+        if now - self._last_check < self.every_s:
             return
-        self._looked_at = now
+        self._last_check = now
         self._note_starts(today)
         self.waits = self.watch.look(self._waiting(scheduler, now))
         prioritized = self.watch.favoured(
@@ -50,13 +50,13 @@
         )
         under_way = {flow_of(attempt.job) for attempt in self._placed}
         prioritized = [wait for wait in prioritized if wait.flow not in under_way]
-        self._tell_new(prioritized, scheduler.overrides.prioritized, today)
+        self._log_prioritized(prioritized, scheduler.overrides.prioritized, today)
         scheduler.overrides.prioritized = frozenset(wait.oldest for wait in prioritized)
         self._protected = {job_id: until for job_id, until in self._protected.items() if until > today}
         scheduler.overrides.protected_from_preemption = frozenset(self._protected)
-        self._tell_starved(today)
+        self._log_starved(today)
 
-    def _take_in(self, scheduler: Scheduler, placed: Iterable[TaskAttempt], today: float) -> None:
+    def _protect_placed(self, scheduler: Scheduler, placed: Iterable[TaskAttempt], today: float) -> None:
         """What was placed for a prioritized job is safe from preemption at once, before it has started."""
         for attempt in placed:
             self._placed.append(attempt)
@@ -107,7 +107,7 @@
             return Obstacle.NO_MACHINE
         return Obstacle.OTHERS
 
-    def _tell_new(self, prioritized: list[FlowWait], before: frozenset[str], today: float) -> None:
+    def _log_prioritized(self, prioritized: list[FlowWait], before: frozenset[str], today: float) -> None:
         for wait in prioritized:
             if wait.oldest not in before:
                 waited = round(today - wait.since)
@@ -119,16 +119,16 @@
                     waited_s=waited,
                 )
 
-    def _tell_starved(self, today: float) -> None:
+    def _log_starved(self, today: float) -> None:
         """Log each flow once when a whole window has passed, with what keeps it from a start."""
         late = {wait.flow: wait for wait in self.waits if today - wait.since > self.window_s}
         for flow in late.keys() - self._starved:
             wait = late[flow]
             waited = round(today - wait.since)
             starved = wait.obstacle is Obstacle.OTHERS and self.watch.others_served_since(flow, wait.since)
-            tell, name = (error, "class_starved") if starved else (info, "class_unserved")
-            tell(
-                name,
+            log, event = (error, "class_starved") if starved else (info, "class_unserved")
+            log(
+                event,
                 team=flow.team,
                 job_class=flow.job_class,
                 waited_s=waited,
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -246,8 +246,8 @@
         for job in queue:
             if not self.preemption.policy.can_preempt(job):
                 continue
-            has_just_come = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
-            for attempt in self.preemption.select_victims(job, now, elastic_only=has_just_come):
+            elastic_only = now - job.order < self.settings.report_s and job.spec.priority is not Priority.PRODUCTION
+            for attempt in self.preemption.select_victims(job, now, elastic_only=elastic_only):
                 info(
                     "task_preempted",
                     job=attempt.job.spec.id,
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -34,9 +34,8 @@
     harness.inventory.machines["m1"].used = BOX.size
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
-        assert not harness.preemption.select_victims(
-            waiting, 1.0
-        )  # a start that does not count yet is not taken back
+        # a start that does not count yet is not taken back
+        assert not harness.preemption.select_victims(waiting, 1.0)
         for attempt in harness.job_table.attempts_by_machine["m1"].values():
             attempt.running_since = -60.0
     assert bool(harness.preemption.select_victims(waiting, 1.0)) is preempted
@@ -63,6 +62,7 @@
     assert {attempt.machine for attempt in victims} == {"m1", "m2"}
     for attempt in victims:
         stop_gracefully(attempt, 6.0)
+    assert harness.preemption.is_stopping_for(replica)
     assert [attempt.stop_grace_s for attempt in gang.attempts()] == [6.0, 6.0]
     assert harness.preemption.select_victims(replica, 2.0) == []  # one set of victims at a time
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -3,9 +3,12 @@
 import pytest
 
 from builders import BOX, SchedulerHarness, spec
+from passrock.core.capacity_forecast import CapacityForecast
 from passrock.core.jobs import JobTable, new_record
 from passrock.core.model import ZERO_RESOURCES, JobKind, Priority, Resources
+from passrock.core.objectives import Objective, ServiceLevelObjectives
 from passrock.core.records import tasks_per_page
+from passrock.core.zone_constraint import ZoneConstraint
 
 # job fields, machines (name, zone, spot), tasks expected to be placed
 PLACES = [
@@ -114,6 +117,78 @@
     assert [job.spec.id for job in harness.scheduler.queue.ordered(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
 
 
+@pytest.mark.parametrize(
+    ("fields", "counts", "allowed", "required"),
+    [
+        ({}, {"a": 3}, ["a", "b"], None),
+        ({"single_zone": True}, {}, ["a", "b"], None),
+        ({"single_zone": True}, {"b": 1}, ["b"], "b"),
+        ({"spread_zones": True, "tasks": 3}, {"a": 1}, ["a", "b"], None),
+        ({"spread_zones": True, "tasks": 3}, {"a": 2}, ["b"], None),  # half of them, rounded up, in one zone
+    ],
+)
+def test_zones_of_further_tasks(fields, counts, allowed, required):
+    zones = ZoneConstraint(spec(**fields), counts)
+    assert [zone for zone in ("a", "b") if zones.allows(zone)] == allowed
+    assert zones.required_zone == required
+
+
+@pytest.mark.parametrize(
+    ("job_class", "now", "guaranteed", "latest_start"),
+    [
+        ("soon", 0.0, False, 30.0),
+        ("soon", 31.0, False, 187.0),  # the start was missed; it can still end in 200 s, 13 s of which it may run
+        ("soon", 190.0, False, None),
+        ("none", 0.0, False, None),
+        ("none", 0.0, True, 20.0),
+        ("soon", 0.0, True, 20.0),
+        ("soon", 25.0, True, 30.0),
+    ],
+)
+def test_latest_start_for_the_next_objective(job_class, now, guaranteed, latest_start):
+    objectives = ServiceLevelObjectives(
+        (
+            Objective("wait", "soon", 30.0, 0.9),
+            Objective("finished", "soon", 200.0, 0.9),
+            Objective("guarantee", "", 20.0, 0.9),
+        ),
+        starvation_threshold_s=50.0,
+    )
+    job = SchedulerHarness().job(job_class=job_class)
+    assert objectives.latest_start(job, now, guaranteed=guaranteed) == latest_start
+
+
+def test_held_machines_take_their_own_job_until_the_hold_ends():
+    harness = SchedulerHarness()
+    own, other = harness.job(1), harness.job(2, team="t1")
+    machine, holds = harness.inventory.machines["m1"], harness.scheduler.holds
+    holds.hold(machine, own, until=5.0)
+    assert holds.exist_for(own) and holds.machines_of(own) == {"m1"} and not holds.exist_for(other)
+    assert holds.allows(own, machine) and not holds.allows(other, machine)
+    holds.expire(5.0)
+    assert holds.allows(other, machine) and len(holds) == 0
+
+
+@pytest.mark.parametrize(
+    ("fields", "stopping", "seconds"),
+    [
+        ({"estimated_run_s": 40.0}, False, 30.0),
+        ({"estimated_run_s": 5.0}, False, 1.5),  # overdue: it counts as one that ends now
+        ({"estimated_run_s": 40.0}, True, 1.5),
+        ({"kind": JobKind.SERVICE}, False, 3600.0),
+    ],
+)
+def test_capacity_is_expected_when_its_task_ends(fields, stopping, seconds):
+    harness = SchedulerHarness()
+    job = harness.job(resources=BOX.size, **fields)
+    harness.run()
+    attempt = next(job.attempts())
+    attempt.running_since, attempt.stop_grace_s = 10.0, 0.0 if stopping else None
+    machine = harness.inventory.machines["m1"]
+    forecast = CapacityForecast(harness.job_table, harness.scheduler.capacity, harness.scheduler.stop_latency_s)
+    assert forecast.seconds_until_free(machine, Resources(5, 1, 20), 20.0) == seconds
+
+
 def test_machines_are_held_for_a_starving_gang():
     """Small tasks took each machine as it came free, and the gang never saw two at once."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
