--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -11,11 +11,12 @@
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.leadership import Leadership
+from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.inventory import MachineInventory
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
-from passrock.core.preemption import Preemption, stop_softly
+from passrock.core.preemption import Preemption
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
@@ -76,7 +77,7 @@
         """
         heartbeat_interval = self.settings.report_s
         while True:
-            await self.evaluations.requested(heartbeat_interval / IDLE_EVALUATIONS)
+            await self.evaluations.wait_for_request(heartbeat_interval / IDLE_EVALUATIONS)
             began = monotonic_time()
             self.evaluate()
             pause = (monotonic_time() - began) * PAUSE_FACTOR
@@ -102,7 +103,7 @@
         self.rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
-        self.evaluations.finished()
+        self.evaluations.note_finished()
 
     def _notice_own_pause(self, now: float) -> None:
         """If this process stood still, missing heartbeats in that time prove nothing."""
@@ -122,22 +123,22 @@
             )
         for observer in self._observers:
             observer(self.scheduler, placed, now)
-        if self.scheduler.cut_short:
+        if self.scheduler.truncated:
             self.evaluations.request()
 
     def _preempt(self, queue: list[Job], now: float) -> None:
         """Stop work for the waiting jobs whose standing allows it."""
         for job in queue:
-            if not self.preemption.displaces(job):
+            if not self.preemption.policy.can_preempt(job):
                 continue
             is_new = now - job.submitted_at_monotonic < self.settings.report_s
-            early = is_new and job.spec.priority is not Priority.PRODUCTION
-            for victim in self.preemption.make_room(job, now, early):
+            elastic_only = is_new and job.spec.priority is not Priority.PRODUCTION
+            for victim in self.preemption.select_victims(job, now, elastic_only=elastic_only):
                 self._stop(victim, job, now)
 
     def _stop(self, victim: TaskAttempt, job: Job, now: float) -> None:
         info("task_preempted", job=victim.job.spec.id, task=victim.index, machine=victim.machine, by=job.spec.id)
-        stop_softly(victim, self.settings.gang_peer_s)
+        stop_gracefully(victim, self.settings.gang_peer_s)
         if victim.is_unlaunched:  # no answer has carried its launch: the capacity is free at once
             self.job_table.attempt_lost(victim, now)
             self.evaluations.request()
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,10 +8,10 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
+from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.messages import Command, WorkerHeartbeat
-from passrock.core.preemption import drain
 from passrock.core.reconciler import Reconciler, ReconciliationResult
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
@@ -72,11 +72,11 @@
             return None  # its deletion may take long: unanswered, its lease ends as well
         machine.answered = now
         if machine.notice_until is not None:
-            drain(self.job_table, machine.name)
+            drain_machine(self.job_table, machine.name)
         if machine.confirmed and not was_usable:
             self._machine_registered(machine)
         if result.changed or self._awaits_launch(machine):
-            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.count)
+            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
         return result.commands
 
     def _machine_registered(self, machine: Machine) -> None:
@@ -97,9 +97,11 @@
         deadline = monotonic_time() + self.settings.report_s * ANSWER_DELAY
         while monotonic_time() < deadline:
             attempts = self.job_table.attempts_on(machine.name)
-            if self.evaluations.count > evaluations_before and all(attempt.is_committed for attempt in attempts):
+            if self.evaluations.finished_count > evaluations_before and all(
+                attempt.is_committed for attempt in attempts
+            ):
                 break
-            if not await self.evaluations.progress(deadline - monotonic_time()):
+            if not await self.evaluations.wait_for_progress(deadline - monotonic_time()):
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -76,8 +76,8 @@
 
     def _build_decisions(self, settings: Settings) -> None:
         operator = settings.operator
-        keep_after = operator.begin_within_s * operator.keep_room_ratio
-        objectives = ServiceLevelObjectives(settings.objectives, keep_after)
+        starvation_threshold_s = operator.begin_within_s * operator.keep_room_ratio
+        objectives = ServiceLevelObjectives(settings.objectives, starvation_threshold_s)
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
@@ -89,7 +89,7 @@
             leadership.leader_revision,
             settings.txn_ops,
             on_finalized=self.replica.note_final,
-            on_committed=self.evaluations.progressed,
+            on_committed=self.evaluations.note_progress,
             on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(settings, state, cloud, self.catalog, self.inventory, leadership)
