--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -6,7 +6,8 @@
 
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable
+from passrock.core.job import Job
+from passrock.core.job_table import JobTable
 from passrock.core.model import JobKind, Priority
 from passrock.core.preemption import Preemption
 from passrock.core.reservation import zone_gap
@@ -39,7 +40,9 @@
 
     def adjust(self, queue: list[Job], now: float) -> None:
         """Rent for the waiting jobs and for the buffer; give back what nobody needs."""
-        lacking = [job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.stopping_for(job)]
+        lacking = [
+            job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_for(job)
+        ]
         wanted = plan_scale_out(
             lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
         )
@@ -88,7 +91,7 @@
                 continue
             mine = sum(
                 attempt.job.spec.resources.gpus
-                for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values()
+                for attempt in self.job_table.attempts_on(machine.name)
                 if attempt.job.spec.priority is Priority.PRODUCTION
             )
             production[machine.zone] += mine * self.settings.operator.buffer_share
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -9,7 +9,7 @@
 from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.core.cancellations import CancellationLog
-from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
+from passrock.core.messages import Command, CommandKind, TaskState, WorkerHeartbeat
 from passrock.io.http_server import Request, Response
 from passrock.wire import users as user_wire
 from passrock.wire import workers as worker_wire
@@ -62,7 +62,7 @@
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
         """What a controller without a job table can and must command: tasks of cancelled jobs end."""
         return [
-            Command(Op.STOP, task.job, task.index, task.attempt_number)
+            Command(CommandKind.STOP, task.job, task.index, task.attempt_number)
             for task in heartbeat.tasks
             if task.job in self.cancellations and task.state is not TaskState.EXITED
         ]
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -22,7 +22,7 @@
 from passrock.controller.term_fence import TermFence
 from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption
 from passrock.core.records import tasks_per_page
@@ -84,8 +84,8 @@
 
     def _build_decisions(self, settings: Settings) -> None:
         operator = settings.operator
-        keep_after = operator.begin_within_s * operator.keep_room_ratio
-        objectives = ServiceLevelObjectives(settings.objectives, keep_after)
+        starvation_threshold_s = operator.begin_within_s * operator.keep_room_ratio
+        objectives = ServiceLevelObjectives(settings.objectives, starvation_threshold_s)
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
@@ -96,9 +96,9 @@
             self.job_table,
             leadership.leader_revision,
             settings.txn_ops,
-            on_final=self.replica.note_final,
-            on_commit=self.evaluations.progressed,
-            on_lost=lambda: leadership.step_down("leader key lost"),
+            on_finalized=self.replica.note_final,
+            on_committed=self.evaluations.note_progress,
+            on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(settings, state, cloud, self.catalog, self.inventory, leadership)
         self.rounds = BindingRounds(
