--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -11,6 +11,8 @@
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
+from passrock.controller.term_fence import TermFence
 from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.inventory import MachineInventory
 from passrock.core.job import Job, TaskAttempt
@@ -37,6 +39,8 @@
         self,
         settings: Settings,
         leadership: Leadership,
+        renewal: RenewalPolicy,
+        fence: TermFence,
         job_table: JobTable,
         inventory: MachineInventory,
         scheduler: Scheduler,
@@ -49,6 +53,8 @@
     ) -> None:
         self.settings = settings
         self.leadership = leadership
+        self.renewal = renewal
+        self.fence = fence
         self.job_table = job_table
         self.inventory = inventory
         self.scheduler = scheduler
@@ -88,10 +94,10 @@
         now = monotonic_time()
         self._notice_own_pause(now)
         if not self.leadership.holds_lease():
-            if self.leadership.may_renew():
+            if self.renewal.may_renew():
                 self.failure_detector.clear_cancelled(now)  # the time for these runs on through an outage
             return
-        self.leadership.check_fence()
+        self.fence.check()
         planning = now >= self._plan_due
         if planning:
             self._plan_due = now + self.settings.report_s * PLAN_INTERVAL
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -6,7 +6,9 @@
 
 from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
-from passrock.core.cancellations import Cancellations
+from passrock.controller.renewal_policy import RenewalPolicy
+from passrock.controller.worker_redirects import WorkerRedirects
+from passrock.core.cancellations import CancellationLog
 from passrock.core.messages import Command, CommandKind, TaskState, WorkerHeartbeat
 from passrock.io.http_server import Request, Response
 from passrock.wire import users as user_wire
@@ -20,10 +22,14 @@
     def __init__(
         self,
         leadership: Leadership,
-        cancellations: Cancellations,
+        renewal: RenewalPolicy,
+        redirects: WorkerRedirects,
+        cancellations: CancellationLog,
         current_term: Callable[[], LeaderTerm | None],
     ) -> None:
         self.leadership = leadership
+        self.renewal = renewal
+        self.redirects = redirects
         self.cancellations = cancellations
         self.current_term = current_term
 
@@ -35,7 +41,7 @@
             return Response(400, user_wire.error_answer(str(problem)))
         leadership = self.leadership
         leadership.observe_term(heartbeat.token)
-        if not leadership.may_renew():
+        if not self.renewal.may_renew():
             return self._answer_as_follower(heartbeat)
         leader_term = self.current_term()
         if leader_term is None or not leader_term.ready:
@@ -48,9 +54,9 @@
         return self._answer_later(commands, leadership.term)
 
     def _answer_as_follower(self, heartbeat: WorkerHeartbeat) -> Response:
-        if self.leadership.may_renew_leaderless(heartbeat.token):
+        if self.renewal.may_renew_leaderless(heartbeat.token):
             return Response(200, worker_wire.answer(heartbeat.token, self._stop_cancelled(heartbeat)))
-        node = self.leadership.redirect(heartbeat.machine, heartbeat.token)
+        node = self.redirects.target(heartbeat.machine, heartbeat.token)
         return Response(421, worker_wire.redirect(node))
 
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
@@ -66,6 +72,6 @@
         commands = await work
         if commands is None:
             return Response(503)
-        if not self.leadership.may_renew() or self.leadership.term != term:
+        if not self.renewal.may_renew() or self.leadership.term != term:
             return Response(421, worker_wire.redirect(None))
         return Response(200, worker_wire.answer(term, commands))
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,6 +8,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import Machine, MachineInventory
 from passrock.core.job_table import JobTable
@@ -28,6 +29,7 @@
         self,
         settings: Settings,
         leadership: Leadership,
+        renewal: RenewalPolicy,
         job_table: JobTable,
         inventory: MachineInventory,
         catalog: MachineCatalog,
@@ -36,7 +38,7 @@
         evaluations: Evaluations,
     ) -> None:
         self.settings = settings
-        self.leadership = leadership
+        self.renewal = renewal
         self.job_table = job_table
         self.inventory = inventory
         self.catalog = catalog
@@ -61,7 +63,7 @@
         machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
             return None  # a late copy, or of a machine that is deleted: an answer could only renew by mistake
-        may_launch = self.leadership.may_launch()
+        may_launch = self.renewal.may_launch()
         result = self.reconciler.handle(machine, heartbeat, now, may_launch=may_launch)
         if result.changed:
             _log_changes(result, machine, now)
@@ -105,7 +107,7 @@
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
-        if self.leadership.may_launch():
+        if self.renewal.may_launch():
             commands += self.reconciler.late_launches(machine, heartbeat)
         machine.answered = monotonic_time()
         return commands
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from passrock.controller import keys
-from passrock.controller.replica import ReadFence, Replica
-from passrock.core.cancellations import Cancellations
+from passrock.controller.read_fence import ReadFence
+from passrock.controller.replica import Replica
+from passrock.core.cancellations import CancellationLog
 from passrock.core.records import CANCELLED, DONE, tasks_per_page
 from passrock.io.clock import monotonic_time
 from passrock.io.state import StateClient
@@ -34,7 +35,7 @@
     """Linearizable reads of jobs: from the replica behind a read fence, or else from the store itself."""
 
     def __init__(
-        self, settings: Settings, state: StateClient, replica: Replica, cancellations: Cancellations
+        self, settings: Settings, state: StateClient, replica: Replica, cancellations: CancellationLog
     ) -> None:
         self.state = state
         self.replica = replica
@@ -64,7 +65,7 @@
     async def _find_unfinished(self, job_id: str) -> JobStatus | None:
         """The state of a job that has not ended, from the replica if it can be proved current."""
         for _ in range(FENCE_TRIES):
-            if await self.fence.passed():
+            if await self.fence.wait():
                 return self._from_replica(job_id)
             if self.state.down(monotonic_time(), 0.0):
                 raise UnavailableError("the state service is down")
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -13,16 +13,20 @@
 from passrock.controller.heartbeat_endpoint import HeartbeatEndpoint
 from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
+from passrock.controller.local_heartbeat import LocalHeartbeat
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
 from passrock.controller.request_router import RequestRouter
 from passrock.controller.user_api import UserApi
+from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.core.budget import rate_share
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request, Response
-from passrock.io.peers import Link, Peers
+from passrock.io.peer_link import Link
+from passrock.io.peers import PeerExchange, PeerTable
 from passrock.io.state import StateClient
 from passrock.settings import Settings
 from passrock.wire.state import Entry
@@ -54,19 +58,29 @@
         self.catalog = MachineCatalog()
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
         self.replica = Replica(state, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
-        self.cancellations = Cancellations(settings.cancel_s * CANCELLATION_RETENTION)
-        self.cancellations.learned = self._on_cancellation
-        self.replica.listeners.append(self._on_state_change)
-        self.leadership = Leadership(settings, state, self.replica, self.cancellations, rng)
-        self.leadership.changed.append(self._on_role_change)
-        self.peers = Peers(links, self.leadership.view, self.leadership.heard, self.cancellations)
-        self.leadership.peers = self.peers
+        retention_s = settings.cancel_s * CANCELLATION_RETENTION
+        self.cancellations = CancellationLog(retention_s, on_learned=self._on_cancellation)
+        self.replica.subscribe(self._on_state_change)
+        self.leadership = Leadership(settings, state, self.replica, rng)
+        self.leadership.subscribe(self._on_role_change)
+        self.peer_table = PeerTable(links, settings.report_s)
+        self.renewal = RenewalPolicy(settings, self.leadership, state, self.replica, self.peer_table)
+        self.redirects = WorkerRedirects(settings, self.leadership, state, self.replica, self.peer_table)
         self.leader_term: LeaderTerm | None = None
         self.admission = self._switch_on_admission(rng)
+        self.peers = PeerExchange(
+            self.peer_table,
+            LocalHeartbeat(settings.node, self.leadership, state, self.replica, self.renewal, self.redirects),
+            self.leadership.on_peer_heartbeat,
+            self.cancellations,
+            [] if self.admission is None else [self.admission],
+        )
         self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog, self.admission)
         self.router = RequestRouter(
-            HeartbeatEndpoint(self.leadership, self.cancellations, lambda: self.leader_term),
-            HealthCheck(settings, state, self.replica, self.catalog, self.peers),
+            HeartbeatEndpoint(
+                self.leadership, self.renewal, self.redirects, self.cancellations, lambda: self.leader_term
+            ),
+            HealthCheck(settings, state, self.replica, self.catalog, self.peer_table),
             self.user_api,
         )
         self._share_rates(leading=False)
@@ -94,10 +108,9 @@
         from passrock.admission.controller.control import AdmissionControl
 
         control = AdmissionControl(
-            self.settings, self.settings.admission, self.state, self.replica, self.leadership, self.peers, rng
+            self.settings, self.settings.admission, self.state, self.replica, self.leadership, self.peer_table, rng
         )
         self.replica.prefixes += (keys.ALLOCATION,)
-        self.peers.extensions.append(control)
         return control
 
     def _share_rates(self, *, leading: bool) -> None:
@@ -125,6 +138,8 @@
                 self.replica,
                 self.cancellations,
                 self.leadership,
+                self.renewal,
+                self.peer_table,
                 self.catalog,
             )
             self.leader_term.start()
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -12,7 +12,7 @@
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer
-from passrock.io.peers import PeerLink
+from passrock.io.peer_link import PeerLink
 from passrock.io.state import StateClient
 from passrock.logs import info, start_logging
 from passrock.settings import Settings, warnings
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -6,7 +6,7 @@
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.replica import Replica
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.records import CancellationRecord, JobRecord, TaskPageRecord, decode_record
@@ -16,7 +16,7 @@
 
 def load_records(
     replica: Replica,
-    cancellations: Cancellations,
+    cancellations: CancellationLog,
     job_table: JobTable,
     inventory: MachineInventory,
     rounds: BindingRounds,
@@ -57,14 +57,14 @@
             job_table.load_page(job, int(number), record, entry.mod_revision)
 
 
-def _load_cancellations(replica: Replica, cancellations: Cancellations, job_table: JobTable) -> None:
+def _load_cancellations(replica: Replica, cancellations: CancellationLog, job_table: JobTable) -> None:
     """Cancel the jobs that the replica shows cancelled; a peer may have told of some before the replica does."""
     for entry in replica.with_prefix(keys.CANCEL):
         job = job_table.jobs.get(entry.key[len(keys.CANCEL) :])
         if job is not None:
             job_table.cancel(job, confirmed_at(entry))
     for job in list(job_table.jobs.values()):
-        learned_at = cancellations.when(job.spec.id)
+        learned_at = cancellations.learned_at(job.spec.id)
         if learned_at is not None:
             job_table.cancel(job, learned_at)
         job_table.check_loaded(job)
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -9,7 +9,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.record_loader import confirmed_at
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
 from passrock.core.records import JobRecord, decode_record
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        cancellations: Cancellations,
+        cancellations: CancellationLog,
         job_table: JobTable,
         assignments: dict[str, str],
         rounds: BindingRounds,
@@ -68,7 +68,7 @@
             image=job.spec.image,
         )
         self.evaluations.request()
-        learned_at = self.cancellations.when(job_id)
+        learned_at = self.cancellations.learned_at(job_id)
         if learned_at is not None:
             self.cancelled(job_id, learned_at)
 
