--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -58,9 +58,8 @@
         self.catalog = MachineCatalog()
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
         self.replica = Replica(state, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
-        self.cancellations = CancellationLog(
-            settings.cancel_s * CANCELLATION_RETENTION, on_learned=self._on_cancellation
-        )
+        retention_s = settings.cancel_s * CANCELLATION_RETENTION
+        self.cancellations = CancellationLog(retention_s, on_learned=self._on_cancellation)
         self.replica.subscribe(self._on_state_change)
         self.leadership = Leadership(settings, state, self.replica, rng)
         self.leadership.subscribe(self._on_role_change)
