--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -8,6 +8,7 @@
 
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
+from passrock.core.image_hints import encode_image_hints
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.messages import TaskState
@@ -90,7 +91,9 @@
             if key.startswith(keys.MORE) and key not in writes:
                 writes[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
         if not early:
-            hints = self.inventory.encode_hints(max(1, self.settings.value_bytes // HINT_BYTES))
+            hints = encode_image_hints(
+                self.inventory.machines.values(), max(1, self.settings.value_bytes // HINT_BYTES)
+            )
             writes.update({f"{keys.HINT}{i}": record for i, record in enumerate(hints)})
         changed = {key: value for key, value in writes.items() if value != self._recorded.get(key)}
         info("binding_round_completed", short=len(result.short), changed=len(changed), **self._census())
@@ -104,7 +107,7 @@
         for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
             placed = sum(attempt.job.spec.resources.gpus for attempt in attempts)
-            if not machine.up:
+            if not machine.registered:
                 sums["booting"] += machine.type.size.gpus
             elif not attempts:
                 sums["idle"] += machine.type.size.gpus
@@ -124,7 +127,7 @@
         whole = max((kind.size.gpus for kind in self.catalog.types.values()), default=1.0) or 1.0
         units = []
         for machine in self.inventory.machines.values():
-            if machine.deleting or machine.notice_until is not None:
+            if machine.deleting or machine.reclaim_at is not None:
                 continue
             attempts = self.job_table.attempts_by_machine.get(machine.name, {})
             teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -6,8 +6,10 @@
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
-from passrock.core.inventory import WORKER_WAIT_S, Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
+from passrock.core.machine import Machine
+from passrock.core.machine_health import WORKER_WAIT_S
 from passrock.core.model import Priority
 from passrock.core.preemption import drain
 from passrock.logs import info
@@ -42,12 +44,12 @@
         """Take note of silence, deafness and ends of leases; have machines deleted that won't serve again."""
         inventory = self.inventory
         self.clear_cancelled(now)
-        inventory.wait_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
+        inventory.health.discovery_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
         # a machine that holds tasks of an earlier term counts too, though it may never report in this one
         up = [
             m
             for m in inventory.machines.values()
-            if not m.deleting and (m.up or m.name in self.job_table.attempts_by_machine)
+            if not m.deleting and (m.registered or m.name in self.job_table.attempts_by_machine)
         ]
         if self._silence(up, now):
             return
@@ -56,23 +58,27 @@
             self._end_lease(machine, now)
             self._release(machine)
         self._delete_late(now)
-        if now - inventory.began > 2 * inventory.silent_s:
+        if now - inventory.health.observing_since > 2 * inventory.health.unresponsive_s:
             self._resolve_unlisted()
 
     def _delete_deaf(self, up: list[Machine], now: float) -> None:
         """Machines that no answer reaches go, unless they are so many that the cause lies elsewhere."""
-        deaf = [machine for machine in up if self.inventory.deaf(machine, now)]
+        deaf = [machine for machine in up if self.inventory.health.is_unreachable_inbound(machine, now)]
         if len(deaf) * 2 > len(up) + 2:
             return
         for machine in deaf:
-            info("machine_unreachable_inbound", machine=machine.name, unacknowledged_answers=machine.unheeded)
+            info(
+                "machine_unreachable_inbound",
+                machine=machine.name,
+                unacknowledged_answers=machine.unacknowledged_answers,
+            )
             self.provisioner.delete(machine)
 
     def _end_lease(self, machine: Machine, now: float) -> None:
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.inventory.lease_expired(machine, now, self.leadership.fenced_at):
+        if not self.inventory.health.is_lease_expired(machine, now, self.leadership.fenced_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
@@ -81,7 +87,7 @@
     def _release(self, machine: Machine) -> None:
         """Give back a machine that is taken soon and is empty; empty a faulty one, and give it back then."""
         if (
-            machine.notice_until is not None
+            machine.reclaim_at is not None
             and machine.name not in self.job_table.attempts_by_machine
             and not machine.orphans
         ):
@@ -97,8 +103,8 @@
     def _delete_late(self, now: float) -> None:
         """Machines that should have come up long ago are charged for nothing."""
         for machine in list(self.inventory.machines.values()):
-            if self.inventory.late(machine, now):
-                info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.since))
+            if self.inventory.health.boot_timed_out(machine, now):
+                info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.requested_at))
                 self.provisioner.delete(machine)
 
     def _resolve_unlisted(self) -> None:
@@ -121,7 +127,7 @@
                 continue
             for attempt in list(job.attempts()):
                 machine = self.inventory.machines.get(attempt.machine)
-                if machine is None or machine.deleting or not self.inventory.silent(machine, now):
+                if machine is None or machine.deleting or not self.inventory.health.is_unresponsive(machine, now):
                     continue
                 info(
                     "cancelled_task_unreachable",
@@ -134,11 +140,11 @@
     def _silence(self, up: list[Machine], now: float) -> bool:
         """Give up what has been silent for too long; True when the fault lies here and the leader made way."""
         inventory = self.inventory
-        silent = [m for m in up if inventory.silent(m, now)]
+        silent = [m for m in up if inventory.health.is_unresponsive(m, now)]
         while self.given_up and now - self.given_up[0] > self.settings.lease_s:
             self.given_up.popleft()
         # machines report at different moments: those that are late already, and those just given up, count as well
-        missing = sum(inventory.overdue(m, now) for m in up) + len(self.given_up)
+        missing = sum(inventory.health.is_heartbeat_overdue(m, now) for m in up) + len(self.given_up)
         limit = max(CROWD_LEAST, (len(up) + len(self.given_up)) / CROWD)
         crowd = missing > limit
         if len(silent) > limit and self.leadership.workers_elsewhere() * ABDICATE_PART > len(up):
@@ -147,14 +153,23 @@
             return True
         if len(silent) * 2 <= len(up) + 2:
             for machine in silent:
-                quiet = now - inventory.quiet_since(machine)
-                machine.crowd = machine.crowd or crowd
-                if machine.crowd and now - max(machine.heard, inventory.began) < self._crowd_patience(machine):
+                quiet = now - inventory.health.last_seen_at(machine)
+                machine.in_correlated_outage = machine.in_correlated_outage or crowd
+                if machine.in_correlated_outage and now - max(
+                    machine.last_heartbeat_at, inventory.health.observing_since
+                ) < self._crowd_patience(machine):
                     continue  # one cause for many may pass, or lie here
-                if missing > limit / 2 and quiet < inventory.silent_s + self.settings.report_s:
+                if missing > limit / 2 and quiet < inventory.health.unresponsive_s + self.settings.report_s:
                     continue  # may be the first ones of a crowd
-                if machine.name in self.job_table.attempts_by_machine or now - machine.heard > self.settings.lease_s:
-                    info("machine_heartbeat_missed", machine=machine.name, for_s=round(now - machine.heard, 1))
+                if (
+                    machine.name in self.job_table.attempts_by_machine
+                    or now - machine.last_heartbeat_at > self.settings.lease_s
+                ):
+                    info(
+                        "machine_heartbeat_missed",
+                        machine=machine.name,
+                        for_s=round(now - machine.last_heartbeat_at, 1),
+                    )
                     self.given_up.append(now)
                     self.provisioner.delete(machine)
         return False
@@ -169,4 +184,4 @@
         attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
             return self.settings.lease_s * CROWD_PATIENCE
-        return self.inventory.return_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
+        return self.inventory.health.return_timeout_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,8 +8,9 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
+from passrock.core.machine import Machine
 from passrock.core.messages import Command, WorkerHeartbeat
 from passrock.core.preemption import drain
 from passrock.core.reconciler import Reconciler
@@ -55,7 +56,7 @@
         if kind is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
         known = self.inventory.machines.get(heartbeat.machine)
-        was_usable = known is not None and known.up and known.confirmed
+        was_usable = known is not None and known.registered and known.acknowledged_term
         machine = self.inventory.observe(heartbeat, kind, now)
         if machine is None:
             return None  # a late copy, or of a machine that is gone: an answer could only renew by mistake
@@ -67,10 +68,10 @@
             self.commit_queue.wake.set()
         if machine.deleting:
             return None  # its deletion may take long: unanswered, its lease ends as well
-        machine.answered = now
-        if machine.notice_until is not None:
+        machine.last_answer_at = now
+        if machine.reclaim_at is not None:
             drain(self.job_table, machine.name)
-        if machine.confirmed and not was_usable:
+        if machine.acknowledged_term and not was_usable:
             self.rounds.bring_forward()
             info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
             self.evaluations.request()
@@ -111,5 +112,5 @@
             return None
         if self.leadership.may_launch():
             commands += self.reconciler.launches(machine, heartbeat)
-        machine.answered = monotonic_time()
+        machine.last_answer_at = monotonic_time()
         return commands
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -19,6 +19,7 @@
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine_health import MachineHealth
 from passrock.core.model import Priority
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption, stop_softly
@@ -58,7 +59,7 @@
         operator = settings.operator
         self.job_table = JobTable(tasks_per_page(settings.value_bytes))
         self.inventory = MachineInventory(
-            settings.report_s, settings.lease_s, operator.silent_ratio, began, leadership.term
+            MachineHealth(settings.report_s, settings.lease_s, operator.silent_ratio, began), leadership.term
         )
         self.evaluations = Evaluations()
         self.assignments: dict[str, str] = {}
@@ -209,7 +210,8 @@
         """Evidence and placement; at longer intervals preemption, renting, and a round when one is due."""
         now = monotonic_time()
         if now - self._last_evaluation > self.settings.report_s:
-            self.inventory.began = now  # this process stood still: silence in that time proves nothing
+            # this process stood still: silence in that time proves nothing
+            self.inventory.health.observing_since = now
         self._last_evaluation = now
         if not self.leadership.holds_lease():
             if self.leadership.may_renew():
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -10,8 +10,8 @@
 from passrock.controller import keys
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations, renewal_horizon, whole_until
-from passrock.core.inventory import DRIFT, silence_limit
 from passrock.core.lost_workers import LostWorkers
+from passrock.core.machine_health import CLOCK_DRIFT_FACTOR, unresponsive_after
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerHeartbeat, Peers
 from passrock.io.state import Committed, LeaseEndedError, StateClient, StateError, UnknownOutcomeError
@@ -57,7 +57,7 @@
         self.lost_workers = LostWorkers(
             settings.report_s,
             settings.lease_s,
-            silence_limit(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
+            unresponsive_after(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
         )
         self._support_s = max(1.0, settings.report_s)
         replica.listeners.append(self._listen)
@@ -240,7 +240,7 @@
             return
         votes = 1 + sum(1 for heartbeat, _ in self.peers.answers(-1e8) if heartbeat.term >= self.term)
         if votes * 2 > self.settings.nodes:
-            self.fenced_at = monotonic_time() + self._support_s * DRIFT
+            self.fenced_at = monotonic_time() + self._support_s * CLOCK_DRIFT_FACTOR
 
     # -- the life of a leadership -------------------------------------------------------------
 
@@ -282,7 +282,7 @@
                 self.step_down("key lost")
                 return
         if self.leading:
-            self.deadline = started + self.ttl / DRIFT
+            self.deadline = started + self.ttl / CLOCK_DRIFT_FACTOR
 
     async def _maybe_take(self) -> None:
         if not self.replica.loaded or monotonic_time() < self._rest_until:
@@ -318,6 +318,6 @@
         self.term = self.known_term = term
         self.fenced_at = None
         self.leading = True
-        self.deadline = started + self.ttl / DRIFT
+        self.deadline = started + self.ttl / CLOCK_DRIFT_FACTOR
         info("leadership_acquired", term=term)
         self._tell()
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -8,7 +8,8 @@
 
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
+from passrock.core.machine import Machine
 from passrock.core.messages import ListedMachine
 from passrock.core.scaling import MOST_PER_RENTAL, MachineCatalog, Offer
 from passrock.io.clock import monotonic_time
@@ -154,7 +155,7 @@
                 for name in names:
                     self.leaving.pop(name, None)
                     self._listed_up.pop(name, None)
-                    self.inventory.forget(name, monotonic_time())
+                    self.inventory.record_deleted(name, monotonic_time())
                     self.on_machine_lost(name)
 
     # -- the list -----------------------------------------------------------------------------------
@@ -182,7 +183,7 @@
                 self.on_change()
             if row.status == "failed":
                 self.delete(machine)
-            elif row.status == "running" and not machine.up:
+            elif row.status == "running" and not machine.registered:
                 first = self._listed_up.setdefault(row.name, now)
                 if now - first > self.settings.lease_s * 2 and not machine.deleting:
                     info("machine_unreachable_outbound", machine=row.name)
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -7,6 +7,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
+from passrock.core.image_hints import decode_image_hints
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.io.clock import monotonic_time, time_of_day
@@ -46,7 +47,7 @@
         for entry in replica.with_prefix(prefix):
             rounds.load(entry)
     for entry in replica.with_prefix(keys.HINT):
-        inventory.load_hints(entry.value)
+        inventory.load_image_hints(decode_image_hints(entry.value))
 
 
 def confirmed_at(mark: Entry) -> float:
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -12,7 +12,7 @@
 from itertools import islice
 from threading import Lock
 
-from passrock.core.inventory import DRIFT
+from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
 
 NEVER = -math.inf
 
@@ -23,7 +23,7 @@
     The lease ends at the latest ``lease_s`` after the renewal by any clock, and the tasks with it; a report
     interval is left for the worker to notice. All must be over within ``cancel_s`` of the confirmation.
     """
-    return (cancel_s - lease_s * DRIFT - report_s) / DRIFT
+    return (cancel_s - lease_s * CLOCK_DRIFT_FACTOR - report_s) / CLOCK_DRIFT_FACTOR
 
 
 class Cancellations:
--- a/src/passrock/core/jobs.py
+++ b/src/passrock/core/jobs.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
+from passrock.core.machine import Machine
 from passrock.core.messages import TaskState
 from passrock.core.model import NOTHING, JobKind, JobSpec, Resources
 from passrock.core.records import PERMIT_MARK, decode_spec, encode_spec
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Iterable
 
-from passrock.core.inventory import Machine
 from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine import Machine
 from passrock.core.messages import TaskState
 from passrock.core.model import NOTHING, JobKind, Priority
 from passrock.core.objectives import fetch_time
@@ -112,14 +112,17 @@
             return revoked
         if not overdue and spec.priority is not Priority.PRODUCTION:
             left = self.objectives.due(job, now, spec.id in self.scheduler.guaranteed) - now
-            if left < 0 or left > self.inventory.lease_s + 4 * self.patience + 2 * self.scheduler.longest_fetch(job):
+            if (
+                left < 0
+                or left > self.inventory.health.lease_s + 4 * self.patience + 2 * self.scheduler.longest_fetch(job)
+            ):
                 return []  # a plan, dear to make, would be dropped below
         plan = self.plan_room(job, now, math.inf)
         if not overdue and spec.priority is not Priority.PRODUCTION:
             left = self.objectives.due(job, now, spec.id in self.scheduler.guaranteed) - now - self.delay_of(plan)
             if fetch_of(job, plan) > left:
                 plan = self.plan_room(job, now, left)
-            if fetch_of(job, plan) + self.inventory.lease_s < left:
+            if fetch_of(job, plan) + self.inventory.health.lease_s < left:
                 return []  # room may still come by itself
         return self.displace(job, plan, now)
 
@@ -194,11 +197,11 @@
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoid:
                 continue
-            if machine.fetch_wait(spec) > most_fetch:
+            if machine.image_fetch_time(spec) > most_fetch:
                 continue
             found = self.victims(job, machine, now, elastic_only)
             if found is not None:
-                options.append((found[0] + machine.fetch_wait(spec), machine.name, machine, found[1]))
+                options.append((found[0] + machine.image_fetch_time(spec), machine.name, machine, found[1]))
         options.sort(key=lambda option: option[:2])
         cap = spec.zone_cap()
         total = 0.0
@@ -254,7 +257,7 @@
 
 def fetch_of(job: Job, plan: list[tuple[Machine, list[TaskAttempt]]]) -> float:
     """The longest wait for the job's image among the machines of a plan."""
-    return max((machine.fetch_wait(job.spec) for machine, _ in plan), default=0.0)
+    return max((machine.image_fetch_time(job.spec) for machine, _ in plan), default=0.0)
 
 
 def stop_softly(attempt: TaskAttempt, patience: float) -> None:
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine import Machine
 from passrock.core.messages import Command, Op, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import NOTHING, Resources
 
@@ -62,7 +63,7 @@
                 if attempt.state is None:
                     fetching.setdefault(attempt.job.spec.image, attempt.job.spec.image_gb)
         if self.unheeded:
-            machine.ignored(now)
+            machine.record_unacknowledged_answer(now)
         machine.fetching = {image: gb for image, gb in fetching.items() if image not in machine.images}
         self.job_table.recompute_usage(machine, now)
         return commands
@@ -112,7 +113,7 @@
     def _present(self, attempt: TaskAttempt, row: TaskStatus, machine: Machine, now: float) -> None:
         if not attempt.reported:
             attempt.reported = True
-            machine.unheeded = 0
+            machine.unacknowledged_answers = 0
         if attempt.state is not row.state:
             self.changed = True
             attempt.state = row.state
@@ -120,7 +121,7 @@
                 attempt.running_since = now
                 self.begun.append(attempt)
         if row.state is not TaskState.FETCHING:
-            machine.fetched(attempt.job.spec)
+            machine.record_image_fetched(attempt.job.spec)
 
     def _stop(self, attempt: TaskAttempt, row: TaskStatus) -> list[Command]:
         if attempt.job.cancelled:
@@ -148,7 +149,7 @@
         unwanted = (
             attempt.stop_grace_s is not None
             or attempt.job.cancelled
-            or machine.notice_until is not None
+            or machine.reclaim_at is not None
             or machine.deleting
         )
         if proof and (unwanted or attempt.reported) and now is not None:
@@ -173,9 +174,9 @@
         if row.why == "error":
             self._failed(job, machine, now)
         elif row.why in ("no_room", "busy"):
-            machine.blocked_until = now + self.inventory.report_s * 2
+            machine.quarantined_until = now + self.inventory.health.heartbeat_interval_s * 2
         elif row.why == "unknown":
-            job.not_before = now + self.inventory.report_s * 2
+            job.not_before = now + self.inventory.health.heartbeat_interval_s * 2
         self.job_table.attempt_lost(attempt, now)
 
     def _wait_on(self, attempt: TaskAttempt, row: TaskStatus) -> bool:
@@ -196,7 +197,7 @@
         A suspect job costs no machine its place: one faulty array once blocked every machine that it tried.
         """
         if not job.is_suspect:
-            machine.blocked_until = max(machine.blocked_until, now + self.inventory.lease_s)
+            machine.quarantined_until = max(machine.quarantined_until, now + self.inventory.health.lease_s)
         machine.failed_jobs[job.spec.id] = now
         job.avoid.add(machine.name)
         job.errors += 1
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, smallest_request
+from passrock.core.machine import Machine
 from passrock.core.model import NOTHING, JobKind, MachineType, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
@@ -124,14 +125,15 @@
     bins = [
         Bin(Offer(m.type.name, m.zone, m.spot), m.type.size)
         for m in inventory.machines.values()
-        if (not m.up and not m.deleting) or (m.name not in job_table.attempts_by_machine and inventory.absent(m, now))
+        if (not m.registered and not m.deleting)
+        or (m.name not in job_table.attempts_by_machine and inventory.health.may_return(m, now))
     ]
     # whatever has no room for the smallest waiting task is left out: on a full fleet that is nearly all of it
     least = smallest_request(queue)
     rooms = [
-        Bin(Offer(m.type.name, m.zone, m.spot), m.room)
+        Bin(Offer(m.type.name, m.zone, m.spot), m.free_capacity)
         for m in inventory.machines.values()
-        if m.has_room(least) and inventory.usable(m, now)
+        if m.has_capacity_for(least) and inventory.health.is_schedulable(m, now)
     ]
     used = dict(job_table.usage)
     wanted: dict[Offer, int] = {}
@@ -242,12 +244,12 @@
     """
     going = []
     for machine in inventory.machines.values():
-        if not machine.up or machine.deleting or machine.idle_since is None:
+        if not machine.registered or machine.deleting or machine.idle_since is None:
             continue
         if machine.name in job_table.attempts_by_machine:
             continue
         price = machine.type.spot_price if machine.spot else machine.type.price
         wait = patience[machine.type.name] * (machine.type.price / price if price > 0 else 1.0)
-        if now - machine.idle_since >= wait and now - machine.since >= LEAST_CHARGED_S:
+        if now - machine.idle_since >= wait and now - machine.requested_at >= LEAST_CHARGED_S:
             going.append(machine)
     return sorted(going, key=lambda m: (m.spot, m.idle_since or 0.0))
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt, smallest_request
+from passrock.core.machine import Machine
 from passrock.core.model import NOTHING, JobKind, MachineType, Priority, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives, fetch_time
 
@@ -39,7 +40,7 @@
         """What is left on the machine."""
         room = self.room.get(machine.name)
         if room is None:
-            room = self.room[machine.name] = machine.room
+            room = self.room[machine.name] = machine.free_capacity
         return room
 
     def take(self, machine: Machine, resources: Resources) -> None:
@@ -84,7 +85,8 @@
         self._ranks: dict[str, tuple[bool, bool, int]] = {}  # by job, as of the same version
         self._guaranteed_as_of = -1
         self.objectives = objectives
-        self.patience = inventory.report_s * 1.5  # until a task without anything to save has made room
+        # until a task without anything to save has made room
+        self.patience = inventory.health.heartbeat_interval_s * 1.5
 
     # -- order ---------------------------------------------------------------------------
 
@@ -166,7 +168,7 @@
         for machine in self.inventory.machines.values():
             if machine.orphans:
                 self._count_orphans(machine)
-            if self.inventory.usable(machine, now):
+            if self.inventory.health.is_schedulable(machine, now):
                 self.usable.append(machine)
                 self.zones[machine.zone] = None
                 self.kinds[machine.type.name] = machine.type
@@ -196,7 +198,7 @@
     def _find_open(self) -> None:
         """The machines with room for the smallest waiting task; on a full fleet that is a handful."""
         least = smallest_request(self.waiting)
-        self.open = [machine for machine in self.usable if machine.has_room(least)]
+        self.open = [machine for machine in self.usable if machine.has_capacity_for(least)]
 
     def allowed_now(self, job: Job, count: int) -> bool:
         """Whether the team's limit has room for ``count`` more tasks, possibly-there ones counted."""
@@ -210,8 +212,8 @@
         """How dear this machine is for a task of the job."""
         spec = job.spec
         left = (self.rooms.of(machine) - spec.resources).share_of(machine.type.size)
-        harm = machine.fetch_harm(spec)
-        cost = machine.fetch_wait(spec) + harm + PACK_COST * left
+        harm = machine.image_fetch_interference(spec)
+        cost = machine.image_fetch_time(spec) + harm + PACK_COST * left
         owner = self.assignments.get(machine.name)
         if owner is not None and owner != spec.team:
             cost += FOREIGN_COST
@@ -335,7 +337,7 @@
             heap = self.by_cost(job, zone, now)
             while heap and len(chosen) < spec.tasks:
                 price, _, machine = heappop(heap)
-                worst = max(worst, machine.fetch_wait(spec))
+                worst = max(worst, machine.image_fetch_time(spec))
                 total += price
                 self.rooms.take(machine, spec.resources)
                 chosen.append(machine)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -2,6 +2,7 @@
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable, new_record
+from passrock.core.machine_health import MachineHealth
 from passrock.core.messages import TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import NOTHING, JobKind, JobSpec, MachineType, Priority, Resources, Team
 from passrock.core.objectives import Objective, ServiceLevelObjectives
@@ -51,7 +52,7 @@
 
     def __init__(self, machines=(("m1", "a", False),), page=50):
         self.job_table = JobTable(page)
-        self.inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, TERM)
+        self.inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), TERM)
         self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, AIMS)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
@@ -75,7 +76,7 @@
     def refresh(self, now):
         """Every machine has just reported, and nothing runs there."""
         for machine in self.inventory.machines.values():
-            machine.heard, machine.used = now, NOTHING
+            machine.last_heartbeat_at, machine.used = now, NOTHING
 
     def run(self, now=0.0):
         return [(attempt.job.spec.id, attempt.index, attempt.machine) for attempt in self.scheduler.run(now)]
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -77,7 +77,9 @@
     body = worker.report()
     answer, calls = calls_of(leader.handle, Request("POST", "/checkin", body))
     assert isinstance(answer, Response) and answer.status == 200  # answered at once: nothing had changed
-    _, pass_calls = calls_of(leader.leader_term.scheduler.run, leader.leader_term.inventory.began + QUIET_S)
+    _, pass_calls = calls_of(
+        leader.leader_term.scheduler.run, leader.leader_term.inventory.health.observing_since + QUIET_S
+    )
     return calls, pass_calls
 
 
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -148,10 +148,10 @@
             token=token,
             tasks=[row()] if listed else [],
         )
-        harness.inventory.machines["m1"].answered = float(step)
+        harness.inventory.machines["m1"].last_answer_at = float(step)
         harness.run(float(step))
         harness.commit()
-    assert harness.inventory.usable(harness.inventory.machines["m1"], float(len(told))) is used
+    assert harness.inventory.health.is_schedulable(harness.inventory.machines["m1"], float(len(told))) is used
 
 
 @pytest.mark.parametrize(
@@ -169,8 +169,8 @@
 def test_lease_evidence(answered, fenced, now, up, over):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    machine.answered, machine.up = answered, up
-    assert harness.inventory.lease_expired(machine, now, fenced) is over
+    machine.last_answer_at, machine.registered = answered, up
+    assert harness.inventory.health.is_lease_expired(machine, now, fenced) is over
 
 
 def test_faulty_machine_or_faulty_job():
@@ -186,7 +186,7 @@
         failed = [row(attempt_number=attempt.number, state=EXITED, why="error")]
         handle(harness, reconciler, machine=attempt.machine, sequence=sequence + 1, now=float(sequence), tasks=failed)
     assert job.avoid == {"m1", "m2"} and job.not_before > 4.0  # failed on both: the job waits longer and longer
-    assert all(machine.blocked_until > 4.0 for machine in harness.inventory.machines.values())
+    assert all(machine.quarantined_until > 4.0 for machine in harness.inventory.machines.values())
 
 
 def fail_on(harness, reconciler, job, machine, now):
@@ -206,9 +206,9 @@
     for now, machine in enumerate(("m1", "m2")):
         fail_on(harness, reconciler, first, machine, float(now))
     assert first.is_suspect and first.not_before > 1.0  # it is tried again, later
-    blocked = harness.inventory.machines["m3"].blocked_until
+    blocked = harness.inventory.machines["m3"].quarantined_until
     fail_on(harness, reconciler, first, "m3", 2.0)
-    assert harness.inventory.machines["m3"].blocked_until == blocked  # and blocks nothing any more
+    assert harness.inventory.machines["m3"].quarantined_until == blocked  # and blocks nothing any more
     for now, machine in enumerate(("m2", "m1"), start=3):
         fail_on(harness, reconciler, second, machine, float(now))
     m1 = harness.inventory.machines["m1"]
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -8,7 +8,8 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import Cancellations
-from passrock.core.inventory import DELETED_KEPT, MachineInventory
+from passrock.core.inventory import DELETED_NAMES_KEPT, MachineInventory
+from passrock.core.machine_health import MachineHealth
 from passrock.io.http_server import Request
 from passrock.io.state import Refused
 from passrock.wire.state import Put
@@ -268,7 +269,7 @@
     """The unsafe variant: it leads by what it remembers, and its own silence counts against the machines."""
     monkeypatch.setattr(Leadership, "holds_lease", lambda self: self.leading)
     monkeypatch.setattr(
-        MachineInventory, "began", property(lambda self: 0.0, lambda self, value: None), raising=False
+        MachineHealth, "observing_since", property(lambda self: 0.0, lambda self, value: None), raising=False
     )
     lost = virtual_time.run(stand_still(75, 25.0))[3]
     assert lost > 0
@@ -308,10 +309,10 @@
     for number in range(500):
         replica.note_final(f"wk-{number}", "done")
     assert len(replica.finals) == 50 and "wk-499" in replica.finals
-    inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, 1)
-    for number in range(DELETED_KEPT + 500):
-        inventory.forget(f"host-{number:06d}", float(number))
-    assert len(inventory.deleted) == DELETED_KEPT and "host-000000" not in inventory.deleted
+    inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), 1)
+    for number in range(DELETED_NAMES_KEPT + 500):
+        inventory.record_deleted(f"host-{number:06d}", float(number))
+    assert len(inventory.deleted) == DELETED_NAMES_KEPT and "host-000000" not in inventory.deleted
     heard = Cancellations(keep_s=60.0)
     for second in range(1000):
         heard.learn(f"wk-{second}", float(second))
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -79,7 +79,7 @@
     harness.job()
     harness.run()
     for machine in harness.inventory.machines.values():
-        machine.since = -100.0
+        machine.requested_at = -100.0
     patience = {"box": 10.0}
     going = [m.name for m in plan_scale_in(harness.inventory, harness.job_table, patience, 12.0)]
     assert len(going) == 1 and going[0] in ("m1", "m3")  # the busy one and the cheap one stay
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -69,7 +69,7 @@
     """They took ordinary machines for minutes, and gangs that may use no others waited beside cheap room."""
     harness = SchedulerHarness([("dear", "a", False), ("cheap", "a", True)])
     if machine == "dear" or now:
-        harness.inventory.machines["cheap"].notice_until = 1.0
+        harness.inventory.machines["cheap"].reclaim_at = 1.0
     harness.job(1, spot=True, **fields)
     harness.refresh(now)
     placed = [name for _, _, name in harness.run(now)]
@@ -91,7 +91,7 @@
     assert harness.run() == [("wk-1", 0, "m1")]
     harness.job(2, image="two", image_gb=20.0, team="t1")
     assert harness.run() == [("wk-2", 0, "m2")]
-    assert harness.inventory.machines["m1"].fetch_harm(spec(3, image="one")) == 0.0
+    assert harness.inventory.machines["m1"].image_fetch_interference(spec(3, image="one")) == 0.0
 
 
 def test_an_aim_that_the_fetch_would_miss_does_not_count():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -6,6 +6,7 @@
 import pytest
 
 from passrock.core.inventory import MachineInventory
+from passrock.core.machine_health import MachineHealth
 from passrock.core.reconciler import Reconciler
 from passrock.io.http_server import Request, Response
 from standins import virtual_time
@@ -73,7 +74,9 @@
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
     """A scheduler that takes silence for loss starts tasks twice, and the checker says so."""
-    monkeypatch.setattr(MachineInventory, "lease_expired", lambda self, machine, now, fenced: now - machine.heard > 2.0)
+    monkeypatch.setattr(
+        MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
+    )
     rules = {rule for seed in range(50, 56) for _, rule, _ in play(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
 
@@ -82,9 +85,9 @@
     """A leader that counts a lease from what the machine showed, not from what it was answered."""
 
     def shown(self, machine, now, fenced):
-        return fenced is not None and machine.up and now - max(machine.up_since, fenced) > self.lease_s
+        return fenced is not None and machine.registered and now - max(machine.registered_at, fenced) > self.lease_s
 
-    monkeypatch.setattr(MachineInventory, "lease_expired", shown)
+    monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
     days = (play(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -4,6 +4,7 @@
 import msgspec
 
 from builders import SchedulerHarness
+from passrock.core.image_hints import decode_image_hints, encode_image_hints
 from passrock.core.jobs import new_record
 from passrock.wire import users
 from standins.simulated_cluster import SimulatedCluster
@@ -30,7 +31,7 @@
     harness.job_table.start(job, 2, machine, 5, 0.0)
     assert msgspec.json.encode(job.page(0).encode()) == TASK_PAGE
     machine.images["img"] = 2.0
-    assert msgspec.json.encode(harness.inventory.encode_hints(4)) == HINTS
+    assert msgspec.json.encode(encode_image_hints(harness.inventory.machines.values(), 4)) == HINTS
 
 
 def test_records_of_older_sources_are_read():
@@ -45,5 +46,5 @@
         1,
         False,
     )
-    harness.inventory.load_hints(msgspec.json.decode(HINTS)[0])
-    assert harness.inventory.hints == {"m1": {"img": 2.0}}
+    harness.inventory.load_image_hints(decode_image_hints(msgspec.json.decode(HINTS)[0]))
+    assert harness.inventory.image_hints == {"m1": {"img": 2.0}}
