--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -16,7 +16,7 @@
 from passrock.admission.wire.allocation_record import encode_allocation
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
-from passrock.core.budget import rate_share
+from passrock.core.token_bucket import rate_share
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.state import Committed, StateClient, StateError
 from passrock.logs import debug, error
--- a/src/passrock/admission/controller/intake.py
+++ b/src/passrock/admission/controller/intake.py
@@ -15,7 +15,7 @@
 from passrock.admission.core.slots import SlotClock
 from passrock.controller import keys
 from passrock.controller.intake import Refusal
-from passrock.core.limiter import RETRY_LEAST_S, RETRY_MOST_S
+from passrock.core.concurrency_limiter import MAX_RETRY_AFTER_S, MIN_RETRY_AFTER_S
 from passrock.core.model import JobSpec
 from passrock.core.records import Permit
 from passrock.io.clock import time_of_day
@@ -95,6 +95,7 @@
         waiting = self.demand.waiting(flow)
         ahead = waiting / max(1, granted)
         if self.weights.is_interactive(flow) or waiting <= SMALL_FLOW or ahead < 1.0:
-            return max(RETRY_LEAST_S, math.ceil(following))
+            return max(MIN_RETRY_AFTER_S, math.ceil(following))
         wait = following + (ahead - self.rng.random()) * self.clock.length_s
-        return max(RETRY_LEAST_S, math.ceil(min(wait, RETRY_MOST_S / 2)))  # a user gives up after twice the most
+        # a user gives up after twice the most
+        return max(MIN_RETRY_AFTER_S, math.ceil(min(wait, MAX_RETRY_AFTER_S / 2)))
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -149,7 +149,7 @@
         writes = self.state.writes
         names = sorted(changed, key=lambda key: (key.startswith(keys.HINT), key))
         while names:
-            while writes.spare(monotonic_time()) < RECORD_SPARE:
+            while writes.available_fraction(monotonic_time()) < RECORD_SPARE:
                 await asyncio.sleep(self.settings.report_s / 4)
             count = max(1, min(self.settings.txn_ops, int(writes.burst * RECORD_SPARE / 2)))
             count = min(count, max(1, TXN_BYTES // self.settings.value_bytes))
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -88,7 +88,7 @@
         least = FINAL_WRITES if self.job_table.finalizing else 1
         reserve = min(max(SUBMISSIONS_LEAST, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
-        while (left := budget.left(monotonic_time()) - reserve) < least:
+        while (left := budget.available(monotonic_time()) - reserve) < least:
             now = monotonic_time()
             if now >= turn:
                 return self.txn_ops
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -15,10 +15,10 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.controller.user_api import UserApi
-from passrock.core.budget import Budget, rate_share
 from passrock.core.cancellations import Cancellations
 from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
 from passrock.core.scaling import MachineCatalog
+from passrock.core.token_bucket import TokenBucket, rate_share
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
 from passrock.io.http_client import HttpClient
@@ -272,10 +272,10 @@
     state = StateClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, 2),
-        Budget(settings.state_rps, settings.state_rps),
-        Budget(settings.state_write_rps, settings.state_write_rps),
+        TokenBucket(settings.state_rps, settings.state_rps),
+        TokenBucket(settings.state_write_rps, settings.state_write_rps),
     )
-    cloud = CloudClient(HttpClient(settings.cloud, 4), Budget(settings.cloud_rps * 0.8, settings.cloud_rps))
+    cloud = CloudClient(HttpClient(settings.cloud, 4), TokenBucket(settings.cloud_rps * 0.8, settings.cloud_rps))
     return Node(settings, state, cloud, [PeerLink(peer) for peer in settings.peers], rng)
 
 
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -173,7 +173,7 @@
         this one is sent everybody joins it, so that there is never more than one.
         """
         requests = self.state.requests
-        return min(READ_WAIT_S, requests.wait(monotonic_time(), reserve=requests.burst * COMMIT_SHARE))
+        return min(READ_WAIT_S, requests.time_until_available(monotonic_time(), keep=requests.burst * COMMIT_SHARE))
 
     async def _read(self) -> bool:
         await asyncio.sleep(max(self.gap, self._wait_for_budget()))
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -13,7 +13,7 @@
 from passrock.controller.replica import READ_WAIT_S, ReadFence, Replica
 from passrock.controller.submissions import PermitLapsedError, Submitter
 from passrock.core.cancellations import Cancellations
-from passrock.core.limiter import Limiter
+from passrock.core.concurrency_limiter import AdaptiveConcurrencyLimiter
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
 from passrock.core.scaling import MachineCatalog
@@ -42,12 +42,12 @@
     running: int = 0
 
 
-def _limiter(settings: Settings, slack: float) -> Limiter:
+def _limiter(settings: Settings, slack: float) -> AdaptiveConcurrencyLimiter:
     most = max(LEAST_IN_PROGRESS * 2, settings.fd_limit // 2)
-    return Limiter(FIRST_IN_PROGRESS, LEAST_IN_PROGRESS, most, slack)
+    return AdaptiveConcurrencyLimiter(FIRST_IN_PROGRESS, LEAST_IN_PROGRESS, most, slack)
 
 
-def _refuse(limiter: Limiter, status: int) -> Response:
+def _refuse(limiter: AdaptiveConcurrencyLimiter, status: int) -> Response:
     """An answer at once, with a time to come back."""
     return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after())
 
@@ -111,13 +111,15 @@
     def _unknown() -> Response:
         return Response(404, wire.error_answer("no such job"))
 
-    def _limited(self, limiter: Limiter, work: Awaitable[Response]) -> Response | Awaitable[Response]:
-        if not limiter.enter():
+    def _limited(
+        self, limiter: AdaptiveConcurrencyLimiter, work: Awaitable[Response]
+    ) -> Response | Awaitable[Response]:
+        if not limiter.try_acquire():
             work.close()  # type: ignore[attr-defined]
             return _refuse(limiter, 429)
         return self._measured(limiter, work)
 
-    async def _measured(self, limiter: Limiter, work: Awaitable[Response]) -> Response:
+    async def _measured(self, limiter: AdaptiveConcurrencyLimiter, work: Awaitable[Response]) -> Response:
         started = monotonic_time()
         failed = True
         try:
@@ -128,7 +130,7 @@
             debug("user_request_unavailable", error=problem)
             return _refuse(limiter, 503)
         finally:
-            limiter.leave(monotonic_time() - started, failed)
+            limiter.release(monotonic_time() - started, failed=failed)
 
     # -- what is known ------------------------------------------------------------------------
 
@@ -197,7 +199,7 @@
         problem_text = fault(spec, self.settings.teams, types)
         if problem_text is not None and not self._known_job(spec.id):
             return Response(422, wire.error_answer(problem_text))
-        if self.state.writes.wait(monotonic_time()) > 1.0:
+        if self.state.writes.time_until_available(monotonic_time()) > 1.0:
             return _refuse(self.write_limiter, 429)
         if self.gate is None or self._known_job(spec.id):
             return self._limited(self.write_limiter, self._submit(spec, None))
@@ -216,7 +218,10 @@
         refused = Response(
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
-        if self.state.requests.spare(monotonic_time()) < SPARE_FOR_RETRIES or not self.read_limiter.enter():
+        if (
+            self.state.requests.available_fraction(monotonic_time()) < SPARE_FOR_RETRIES
+            or not self.read_limiter.try_acquire()
+        ):
             return refused
         return self._measured(self.read_limiter, self._known_or(spec.id, refused))
 
--- /dev/null
+++ b/src/passrock/core/concurrency_limiter.py
@@ -0,0 +1,65 @@
+"""Admission of requests by their number in progress, with a limit that adapts to measured latencies."""
+
+from __future__ import annotations
+
+from threading import Lock
+
+MIN_RETRY_AFTER_S = 1
+MAX_RETRY_AFTER_S = 30
+BASELINE_DRIFT = 0.002  # per request, by which the baseline follows higher latencies
+DECREASE_FACTOR = 0.95
+
+
+class AdaptiveConcurrencyLimiter:
+    """A limit on requests in progress: additive increase, multiplicative decrease.
+
+    The lowest latency seen lately stands for a service without a queue. As long as requests take about
+    that long and the limit is in use it grows by one; it shrinks as soon as one fails or takes twice as long.
+    ``slack_s`` is a latency above the baseline that counts as none. Safe to use from several threads.
+    """
+
+    def __init__(self, initial: int, minimum: int, maximum: int, slack_s: float) -> None:
+        self.limit = float(initial)
+        self.minimum = minimum
+        self.maximum = maximum
+        self.slack_s = slack_s
+        self.in_progress = 0
+        self._baseline_s: float | None = None
+        self._lock = Lock()
+
+    def try_acquire(self) -> bool:
+        """Begin a request, unless the limit is reached; each success needs one ``release``."""
+        with self._lock:
+            if self.in_progress >= int(self.limit):
+                return False
+            self.in_progress += 1
+            return True
+
+    def is_full(self) -> bool:
+        """Whether ``try_acquire`` would fail."""
+        with self._lock:
+            return self.in_progress >= int(self.limit)
+
+    def release(self, latency_s: float, *, failed: bool) -> None:
+        """End a request and adapt the limit."""
+        with self._lock:
+            is_limiting = self.in_progress >= int(self.limit) - 1
+            self.in_progress -= 1
+            baseline_s = self._update_baseline(latency_s)
+            if failed or latency_s > 2 * baseline_s + self.slack_s:
+                self.limit = max(float(self.minimum), self.limit * DECREASE_FACTOR)
+            elif is_limiting and latency_s <= baseline_s + self.slack_s:
+                self.limit = min(float(self.maximum), self.limit + 1.0)
+
+    def retry_after(self) -> int:
+        """Seconds after which a rejected user should come back."""
+        with self._lock:
+            wait = MIN_RETRY_AFTER_S + self.in_progress * (self._baseline_s or 0.0)
+        return int(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait)))
+
+    def _update_baseline(self, latency_s: float) -> float:
+        if self._baseline_s is None or latency_s < self._baseline_s:
+            self._baseline_s = latency_s
+        else:
+            self._baseline_s += (latency_s - self._baseline_s) * BASELINE_DRIFT
+        return self._baseline_s
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from passrock.core.budget import Budget
 from passrock.core.messages import ListedMachine
 from passrock.core.model import MachineType
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.clock import monotonic_time
 from passrock.io.http_client import HttpClient, NoAnswerError
 from passrock.wire import cloud as wire
@@ -24,12 +24,12 @@
 class CloudClient:
     """The cloud's calls, inside their rate."""
 
-    def __init__(self, http: HttpClient, budget: Budget) -> None:
+    def __init__(self, http: HttpClient, budget: TokenBucket) -> None:
         self.http = http
         self.budget = budget
 
     async def _call(self, method: str, path: str, body: bytes = b"", timeout: float = 8.0) -> bytes:
-        wait = self.budget.take(monotonic_time(), 1)
+        wait = self.budget.reserve(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
@@ -37,7 +37,7 @@
         except NoAnswerError as error:
             raise CloudError(str(error)) from error
         if status == 429:
-            self.budget.refused(monotonic_time())
+            self.budget.record_rejection(monotonic_time())
         if status == 503 and b"capacity" in answer:
             raise NoCapacityError("no capacity")
         if status != 200:
--- a/src/passrock/io/state.py
+++ b/src/passrock/io/state.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.clock import monotonic_time
 from passrock.io.http_client import HttpClient, NoAnswerError
 from passrock.wire import state as wire
@@ -49,7 +49,7 @@
 class StateClient:
     """The state service's calls; knows since when the service has not been served."""
 
-    def __init__(self, http: HttpClient, watch_http: HttpClient, requests: Budget, writes: Budget) -> None:
+    def __init__(self, http: HttpClient, watch_http: HttpClient, requests: TokenBucket, writes: TokenBucket) -> None:
         self.http = http
         self.watch_http = watch_http
         self.requests = requests
@@ -60,9 +60,9 @@
     async def _call(
         self, method: str, path: str, body: bytes = b"", timeout: float = 1.5, changes: int = 0
     ) -> tuple[int, bytes]:
-        wait = self.requests.take(monotonic_time(), 1)
+        wait = self.requests.reserve(monotonic_time(), 1)
         if changes:
-            wait = max(wait, self.writes.take(monotonic_time(), changes))
+            wait = max(wait, self.writes.reserve(monotonic_time(), changes))
         if wait > 0:
             await asyncio.sleep(wait)
         started = monotonic_time()
@@ -72,7 +72,7 @@
             self._bad(started)
             raise UnknownOutcomeError(str(error)) from error
         if status == 429:
-            self.requests.refused(monotonic_time())
+            self.requests.record_rejection(monotonic_time())
             raise StateError("over the rate")
         if status >= 500:
             self._bad(started)
@@ -137,7 +137,7 @@
 
     async def changes(self, prefix: str, after: int, wait_ms: int) -> tuple[list[Change], int]:
         """Wait for changes."""
-        wait = self.requests.take(monotonic_time(), 1)
+        wait = self.requests.reserve(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from passrock.controller.node import Node
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import NoAnswerError
 from passrock.io.http_server import Response
@@ -112,10 +112,10 @@
         state = StateClient(
             ServiceLink(cluster, self, cluster.state, True),
             ServiceLink(cluster, self, cluster.state, True),
-            Budget(100.0, 100.0),
-            Budget(40.0, 40.0),
+            TokenBucket(100.0, 100.0),
+            TokenBucket(40.0, 40.0),
         )
-        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), Budget(5.0, 6.0))
+        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, state, cloud, links, rng)
         self.work = self.context.run(asyncio.ensure_future, self.node.work())
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -3,12 +3,12 @@
 import pytest
 
 from builders import AIMS, BOX, TEAMS, SchedulerHarness, spec
-from passrock.core.budget import Budget
-from passrock.core.limiter import Limiter
+from passrock.core.concurrency_limiter import AdaptiveConcurrencyLimiter
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, Resources, Team
 from passrock.core.scaling import MachineCatalog, Offer, plan_scale_in, plan_scale_out
 from passrock.core.submission_checks import fault
+from passrock.core.token_bucket import TokenBucket
 
 EXITED = TaskState.EXITED
 
@@ -110,25 +110,25 @@
 
 
 def test_limiter_follows_measured_times():
-    limiter = Limiter(start=4, least=2, most=64, slack=0.01)
-    assert [limiter.enter() for _ in range(5)] == [True] * 4 + [False]
+    limiter = AdaptiveConcurrencyLimiter(initial=4, minimum=2, maximum=64, slack_s=0.01)
+    assert [limiter.try_acquire() for _ in range(5)] == [True] * 4 + [False]
     for _ in range(4):
-        limiter.leave(0.01, False)
+        limiter.release(0.01, failed=False)
     for _ in range(400):
-        while limiter.enter():
+        while limiter.try_acquire():
             pass
-        while limiter.busy:
-            limiter.leave(0.01, False)
+        while limiter.in_progress:
+            limiter.release(0.01, failed=False)
     assert limiter.limit == 64
     for _ in range(200):
-        limiter.enter()
-        limiter.leave(1.0, False)
+        limiter.try_acquire()
+        limiter.release(1.0, failed=False)
     assert limiter.limit == 2
     assert 1 <= limiter.retry_after() <= 30
 
 
 def test_budget_spreads_what_exceeds_the_rate():
-    budget = Budget(10.0, 5.0)
-    waits = [budget.take(0.0, 1) for _ in range(8)]
+    budget = TokenBucket(10.0, 5.0)
+    waits = [budget.reserve(0.0, 1) for _ in range(8)]
     assert waits[:5] == [0.0] * 5 and waits[5:] == pytest.approx([0.1, 0.2, 0.3])
-    assert budget.take(10.0, 1) == 0.0
+    assert budget.reserve(10.0, 1) == 0.0
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -174,7 +174,7 @@
         await asyncio.sleep(5.0)
         node = cluster.nodes["n0"].node
         for limiter in (node.user_api.read_limiter, node.user_api.write_limiter):
-            limiter.busy = int(limiter.limit)
+            limiter.in_progress = int(limiter.limit)
         good = cluster.job(1)
         cases = [
             ("POST", "/v2/runs", b"junk"),
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -65,7 +65,7 @@
         cluster = SimulatedCluster(401)
         await cluster.a_leader()
         users = cluster.nodes["n0"].node.user_api
-        users.read_limiter.busy = int(users.read_limiter.limit)
+        users.read_limiter.in_progress = int(users.read_limiter.limit)
         answers = []
         for request in (
             Request("GET", "/v2/runs/wk-000001", b""),
