--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -1,23 +1,34 @@
-"""How many machines the fleet has: what is rented for waiting jobs, and which idle machines go back."""
+"""The number of machines: scale-out for waiting jobs and the zone buffer, scale-in of idle machines."""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable
+from passrock.core.machine import Machine
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobKind, Priority
 from passrock.core.preemption import Preemption
-from passrock.core.reservation import zone_gap
-from passrock.core.scaling import MachineCatalog, plan_scale_in, plan_scale_out
+from passrock.core.scaling import plan_scale_in, plan_scale_out, zone_loss_shortfall
 from passrock.core.scheduler import Scheduler
 from passrock.logs import info
 from passrock.settings import Settings
 
 
+class ZoneGpus(NamedTuple):
+    """GPUs of on-demand machines by zone."""
+
+    production: dict[str, float]
+    """Used by production work, times the part of it that has to survive the loss of a zone."""
+    available: dict[str, float]
+    """What production work could use: GPUs that are idle, or lent to work that can be preempted."""
+
+
 class Autoscaler:
-    """Plans rentals and returns from what the last placement pass left waiting."""
+    """Plans scale-out and scale-in from what the last scheduling pass left waiting."""
 
     def __init__(
         self,
@@ -38,59 +49,66 @@
         self.provisioner = provisioner
 
     def adjust(self, queue: list[Job], now: float) -> None:
-        """Rent for the waiting jobs and for the buffer; give back what nobody needs."""
+        """Scale out for the waiting jobs and for the zone buffer; scale in when nobody waits."""
+        gpus = self._zone_gpus()
+        self._scale_out(queue, gpus, now)
+        if not queue and not self._is_gang_restarting():
+            self._scale_in(gpus, now)
+
+    def _scale_out(self, queue: list[Job], gpus: ZoneGpus, now: float) -> None:
+        # a gang for which preempted tasks are still stopping will get their capacity
         lacking = [job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.stopping_for(job)]
-        wanted = plan_scale_out(
+        machine_counts = plan_scale_out(
             lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
         )
-        production, room = self._zone_rooms()
-        gap = zone_gap(production, room, self.settings.zones)
-        if gap > 0:
-            offer = self.catalog.buffer_offer(room, now)
-            if offer is not None and offer not in wanted:
-                wanted[offer] = math.ceil(gap / self.catalog.types[offer.type].size.gpus)
-        for offer, count in wanted.items():
-            self.provisioner.rent(offer, count)
-        if not queue and not self._broken_gangs():
-            self._give_back(production, room, now)
-
-    def _give_back(self, production: dict[str, float], room: dict[str, float], now: float) -> None:
-        """Return idle machines, but for those that the buffer for a lost zone needs."""
+        shortfall = zone_loss_shortfall(gpus.production, gpus.available, self.settings.zones)
+        if shortfall > 0:
+            offering = self.catalog.buffer_offering(gpus.available, now)
+            if offering is not None and offering not in machine_counts:
+                gpus_per_machine = self.catalog.types[offering.machine_type].size.gpus
+                machine_counts[offering] = math.ceil(shortfall / gpus_per_machine)
+        for offering, count in machine_counts.items():
+            self.provisioner.provision(offering, count)
+
+    def _scale_in(self, gpus: ZoneGpus, now: float) -> None:
+        """Delete idle machines, but for those that the buffer for a lost zone needs."""
         operator = self.settings.operator
-        patience = {
-            name: max(operator.idle_floor_s, operator.idle_boot_ratio * kind.boot_s)
-            for name, kind in self.catalog.types.items()
+        idle_timeout_s = {
+            name: max(operator.idle_floor_s, operator.idle_boot_ratio * machine_type.boot_s)
+            for name, machine_type in self.catalog.types.items()
         }
-        for machine in plan_scale_in(self.inventory, self.job_table, patience, now):
-            room[machine.zone] -= machine.type.size.gpus
-            if not machine.spot and zone_gap(production, room, self.settings.zones) > 0:
-                room[machine.zone] += machine.type.size.gpus  # part of the buffer for a lost zone
+        for machine in plan_scale_in(self.inventory, self.job_table, idle_timeout_s, now):
+            gpus.available[machine.zone] -= machine.type.size.gpus
+            if not machine.spot and zone_loss_shortfall(gpus.production, gpus.available, self.settings.zones) > 0:
+                gpus.available[machine.zone] += machine.type.size.gpus  # part of the buffer
                 continue
             info("machine_scaled_in", machine=machine.name)
-            self.provisioner.delete(machine)
+            self.provisioner.deprovision(machine)
 
-    def _broken_gangs(self) -> bool:
-        """Whether a gang waits for the last of its old attempt to be gone: it needs the room of its mates again.
+    def _is_gang_restarting(self) -> bool:
+        """Whether a gang waits for the end of its last attempt: it needs its machines again.
 
-        Gangs with tasks on machines that were cut off were in no queue, and the machines of the others went back.
+        Gangs with tasks on machines that were cut off were in no queue, and their other machines were deleted.
         """
         return any(
             job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
             for job in self.job_table.jobs.values()
         )
 
-    def _zone_rooms(self) -> tuple[dict[str, float], dict[str, float]]:
-        """GPUs of production work in each zone, and those it could take there: idle ones or lent ones."""
-        production = dict.fromkeys(self.settings.zones, 0.0)
-        room = dict.fromkeys(self.settings.zones, 0.0)
+    def _zone_gpus(self) -> ZoneGpus:
+        gpus = ZoneGpus(dict.fromkeys(self.settings.zones, 0.0), dict.fromkeys(self.settings.zones, 0.0))
         for machine in self.inventory.machines.values():
-            if machine.deleting or machine.spot or machine.zone not in room:
+            if machine.deleting or machine.spot or machine.zone not in gpus.available:
                 continue
-            mine = sum(
-                attempt.job.spec.resources.gpus
-                for attempt in self.job_table.attempts_by_machine.get(machine.name, {}).values()
-                if attempt.job.spec.priority is Priority.PRODUCTION
-            )
-            production[machine.zone] += mine * self.settings.operator.buffer_share
-            room[machine.zone] += machine.type.size.gpus - mine
-        return production, room
+            production = self._production_gpus(machine)
+            gpus.production[machine.zone] += production * self.settings.operator.buffer_share
+            gpus.available[machine.zone] += machine.type.size.gpus - production
+        return gpus
+
+    def _production_gpus(self, machine: Machine) -> float:
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        return sum(
+            attempt.job.spec.resources.gpus
+            for attempt in attempts
+            if attempt.job.spec.priority is Priority.PRODUCTION
+        )
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -6,14 +6,18 @@
 import math
 from typing import Any
 
+import msgspec
+
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.image_hints import encode_image_hints
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
+from passrock.core.machine import Machine
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import TaskState
-from passrock.core.reservation import Binding, Claim, Unit, bind, pages
-from passrock.core.scaling import MachineCatalog
+from passrock.core.model import Team
+from passrock.core.reservation import BindingResult, MachineView, ReservationRequest, bind, split_into_pages
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.io.state import Committed, StateClient, StateError
@@ -21,10 +25,32 @@
 from passrock.settings import Settings
 from passrock.wire.state import TXN_BYTES, Entry, Put, Write
 
-EARLY_ROUND = 0.25  # of the round interval, the least time between two rounds
-RECORD_SPARE = 0.6  # of the burst of writes must be free before a round's records are written
-RECORD_FILL = 0.9  # of a record's largest size is filled with names of machines
-HINT_BYTES = 160  # a machine with its images in a hint record, at its longest
+MIN_ROUND_GAP = 0.25  # of the round interval, between two rounds
+MIN_FREE_WRITES = 0.6  # of the write burst must be available before a round's records are written
+MAX_RECORD_FILL = 0.9  # of a record's largest size is filled with names of machines
+HINT_BYTES_PER_MACHINE = 160  # a machine with its images in a hint record, at its longest
+
+
+class ClusterGpus(msgspec.Struct):
+    """Where the machines' GPUs are, in the order in which the log shows it.
+
+    Attributes:
+        machines: the number of machines.
+        waiting: asked for by waiting tasks.
+        booting: of machines that are not registered yet.
+        idle: of machines without attempts.
+        placed: of attempts that are not running yet.
+        running: of running attempts.
+        stranded: unused on machines with attempts.
+    """
+
+    machines: int
+    waiting: float
+    booting: float = 0.0
+    idle: float = 0.0
+    placed: float = 0.0
+    running: float = 0.0
+    stranded: float = 0.0
 
 
 class BindingRounds:
@@ -47,26 +73,26 @@
         self.inventory = inventory
         self.catalog = catalog
         self.scheduler = scheduler
-        self.assignments = scheduler.assignments  # machine -> team, as the last round left it
+        self.assignments = scheduler.assignments  # the team of each machine, as the last round left it
         self._due = 0.0
-        self._last = -math.inf
-        self._recorded: dict[str, Any] = {}
-        self._recording: asyncio.Task[None] | None = None
+        self._last_round_at = -math.inf
+        self._stored: dict[str, Any] = {}
+        self._writing: asyncio.Task[None] | None = None
 
     def load(self, reservation: Entry) -> None:
         """Take in one record of an earlier leader."""
-        self._recorded[reservation.key] = reservation.value
+        self._stored[reservation.key] = reservation.value
         self.assignments.update(dict.fromkeys(reservation.value["m"], keys.reservation_team(reservation.key)))
 
     def stop(self) -> None:
         """Write nothing more."""
-        if self._recording is not None:
-            self._recording.cancel()
+        if self._writing is not None:
+            self._writing.cancel()
 
     def bring_forward(self) -> None:
-        """Demand or machines changed: the next round comes early, though not at once again."""
-        early = self._last + self.settings.operator.round_s * EARLY_ROUND
-        self._due = min(self._due, max(monotonic_time(), early))
+        """Hold the next round early, as demand or machines changed, though not at once after the last one."""
+        earliest = self._last_round_at + self.settings.operator.round_s * MIN_ROUND_GAP
+        self._due = min(self._due, max(monotonic_time(), earliest))
 
     def run_if_due(self, now: float) -> None:
         """Hold a round when its time has come."""
@@ -74,87 +100,105 @@
             self._run(now)
 
     def _run(self, now: float) -> None:
-        early = now - self._last < self.settings.operator.round_s
+        early = now - self._last_round_at < self.settings.operator.round_s
         self._due = now + self.settings.operator.round_s
-        self._last = now
+        self._last_round_at = now
         result = self._bind()
         self.assignments.clear()
-        self.assignments.update(result.owner)
-        records: dict[str, list[str]] = {team: [] for team in self.settings.teams}
-        for name, team in sorted(result.owner.items()):
-            records[team].append(name)
-        writes: dict[str, Any] = {}
-        for team, names in records.items():
-            for page, part in enumerate(pages(names, self.settings.value_bytes * RECORD_FILL)):
-                writes[keys.reservation(team, page)] = {"m": part}
-        for key in self._recorded:
-            if key.startswith(keys.MORE) and key not in writes:
-                writes[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
+        self.assignments.update(result.assignments)
+        records = self._reservation_records(result)
         if not early:
-            hints = encode_image_hints(
-                self.inventory.machines.values(), max(1, self.settings.value_bytes // HINT_BYTES)
-            )
-            writes.update({f"{keys.HINT}{i}": record for i, record in enumerate(hints)})
-        changed = {key: value for key, value in writes.items() if value != self._recorded.get(key)}
-        info("binding_round_completed", short=len(result.short), changed=len(changed), **self._census())
+            records.update(self._hint_records())
+        changed = {key: value for key, value in records.items() if value != self._stored.get(key)}
+        info(
+            "binding_round_completed",
+            short=len(result.shortfalls),
+            changed=len(changed),
+            **msgspec.structs.asdict(self._cluster_gpus()),
+        )
         if changed:
             self.stop()  # this round's records stand for those not yet written
-            self._recording = asyncio.ensure_future(self._record(changed))
-
-    def _census(self) -> dict[str, object]:
-        """Where the machines' GPUs are, for the log."""
-        sums = dict.fromkeys(("booting", "idle", "placed", "running", "stranded"), 0.0)
+            self._writing = asyncio.ensure_future(self._write(changed))
+
+    # -- the round ----------------------------------------------------------------------------------
+
+    def _bind(self) -> BindingResult:
+        machine_types = self.catalog.types.values()
+        unit = max((machine_type.size.gpus for machine_type in machine_types), default=1.0) or 1.0
+        machines = [
+            self._view(machine, unit)
+            for machine in self.inventory.machines.values()
+            if not machine.deleting and machine.reclaim_at is None
+        ]
+        requests = [self._request(team, unit) for team in self.settings.teams.values()]
+        return bind(machines, requests, self.assignments, self.settings.zones, self.settings.operator.alpha_extra)
+
+    def _view(self, machine: Machine, unit: float) -> MachineView:
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {})
+        teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
+        return MachineView(machine.name, machine.zone, machine.type.size.gpus / unit, not attempts, teams)
+
+    def _request(self, team: Team, unit: float) -> ReservationRequest:
+        """What a team's demand asks for within its quota, in units of the largest machine."""
+        gpus = self.scheduler.demand(team.name).gpus
+        if team.gpus_max > 0:
+            gpus = min(gpus, team.gpus_max)
+        desired = gpus / unit
+        return ReservationRequest(team.name, desired, team.gpus / unit, desired * self.settings.operator.buffer_share)
+
+    def _cluster_gpus(self) -> ClusterGpus:
+        waiting = sum(
+            job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
+        )
+        sums = ClusterGpus(len(self.inventory.machines), waiting)
         for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
-            placed = sum(attempt.job.spec.resources.gpus for attempt in attempts)
+            used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.registered:
-                sums["booting"] += machine.type.size.gpus
+                sums.booting += machine.type.size.gpus
             elif not attempts:
-                sums["idle"] += machine.type.size.gpus
+                sums.idle += machine.type.size.gpus
             else:
-                sums["stranded"] += machine.type.size.gpus - placed
+                sums.stranded += machine.type.size.gpus - used
             running = sum(
                 attempt.job.spec.resources.gpus for attempt in attempts if attempt.state is TaskState.RUNNING
             )
-            sums["running"] += running
-            sums["placed"] += placed - running
-        waiting = sum(
-            job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
-        )
-        return {"machines": len(self.inventory.machines), "waiting": waiting, **sums}
-
-    def _bind(self) -> Binding:
-        whole = max((kind.size.gpus for kind in self.catalog.types.values()), default=1.0) or 1.0
-        units = []
-        for machine in self.inventory.machines.values():
-            if machine.deleting or machine.reclaim_at is not None:
-                continue
-            attempts = self.job_table.attempts_by_machine.get(machine.name, {})
-            teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
-            units.append(Unit(machine.name, machine.zone, machine.type.size.gpus / whole, not attempts, teams))
-        claims = []
-        for team in self.settings.teams.values():
-            asked = self.scheduler.demand(team.name).gpus
-            if team.gpus_max > 0:
-                asked = min(asked, team.gpus_max)
-            desired = asked / whole
-            claims.append(Claim(team.name, desired, team.gpus / whole, desired * self.settings.operator.buffer_share))
-        return bind(units, claims, self.assignments, self.settings.zones, self.settings.operator.alpha_extra)
-
-    async def _record(self, changed: dict[str, Any]) -> None:
-        """Write the reservations and hints that changed, with what jobs leave of the write rate.
-
-        On a large fleet there are dozens, enough to hold up launches and completions for seconds.
+            sums.running += running
+            sums.placed += used - running
+        return sums
+
+    # -- its records --------------------------------------------------------------------------------
+
+    def _reservation_records(self, result: BindingResult) -> dict[str, Any]:
+        names_by_team: dict[str, list[str]] = {team: [] for team in self.settings.teams}
+        for name, team in sorted(result.assignments.items()):
+            names_by_team[team].append(name)
+        records: dict[str, Any] = {}
+        for team, names in names_by_team.items():
+            for number, page in enumerate(split_into_pages(names, self.settings.value_bytes * MAX_RECORD_FILL)):
+                records[keys.reservation(team, number)] = {"m": page}
+        for key in self._stored:
+            if key.startswith(keys.MORE) and key not in records:
+                records[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
+        return records
+
+    def _hint_records(self) -> dict[str, Any]:
+        max_machines = max(1, self.settings.value_bytes // HINT_BYTES_PER_MACHINE)
+        hints = encode_image_hints(self.inventory.machines.values(), max_machines)
+        return {f"{keys.HINT}{number}": record for number, record in enumerate(hints)}
+
+    async def _write(self, changed: dict[str, Any]) -> None:
+        """Write the records that changed, reservations first, with what jobs leave of the write rate.
+
+        In a large cluster there are dozens, enough to hold up launches and completions for seconds.
         """
-        writes = self.state.writes
-        names = sorted(changed, key=lambda key: (key.startswith(keys.HINT), key))
-        while names:
-            while writes.available_fraction(monotonic_time()) < RECORD_SPARE:
+        pending = sorted(changed, key=lambda key: (key.startswith(keys.HINT), key))
+        while pending:
+            while self.state.writes.available_fraction(monotonic_time()) < MIN_FREE_WRITES:
                 await asyncio.sleep(self.settings.report_s / 4)
-            count = max(1, min(self.settings.txn_ops, int(writes.burst * RECORD_SPARE / 2)))
-            count = min(count, max(1, TXN_BYTES // self.settings.value_bytes))
-            part, names = names[:count], names[count:]
-            changes: list[Write] = [Put(key, changed[key]) for key in part]
+            count = self._records_per_commit()
+            batch, pending = pending[:count], pending[count:]
+            changes: list[Write] = [Put(key, changed[key]) for key in batch]
             try:
                 result = await self.state.commit({keys.LEADER: self.leadership.leader_revision}, changes)
             except StateError:
@@ -162,5 +206,11 @@
             if not isinstance(result, Committed):
                 self.leadership.step_down("leader key lost")
                 return
-            for key in part:
-                self._recorded[key] = changed[key]
+            for key in batch:
+                self._stored[key] = changed[key]
+
+    def _records_per_commit(self) -> int:
+        """As many as leave half of the available writes to jobs and fit the limits of a transaction."""
+        by_rate = int(self.state.writes.burst * MIN_FREE_WRITES / 2)
+        count = max(1, min(self.settings.txn_ops, by_rate))
+        return min(count, max(1, TXN_BYTES // self.settings.value_bytes))
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -1,8 +1,10 @@
-"""The leader's failure detector: silent, unreachable, faulty and late machines, and leases that have ended."""
+"""The leader's failure detector: unresponsive, unreachable and faulty machines, boot timeouts and expired leases."""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
+from typing import NamedTuple
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
@@ -15,15 +17,69 @@
 from passrock.logs import info
 from passrock.settings import Settings
 
-ABDICATE_PART = 6  # more than a sixth of the fleet at other controllers: this one's own connections have failed
-CROWD, CROWD_LEAST = 8, 4  # silent machines above an eighth of the fleet, and four, are a crowd:
-CROWD_PATIENCE = 0.9  # of the lease, which by then has all but ended, before one of a crowd with replicas is given up
-CLEAR_PART = 0.5  # of cancel_s, before a silent machine with tasks of a cancelled job is deleted
-DEATH_SHOWN_S = 30.0  # until the cloud's list shows a machine that died as failed
+# More than a sixth of the cluster at other controllers: this one's own connections have failed.
+CUT_OFF_WORKERS_DIVISOR = 6
+# An outage of more than an eighth of the cluster, and of more than four machines, is taken to have one cause.
+CORRELATED_OUTAGE_DIVISOR = 8
+CORRELATED_OUTAGE_MIN_MACHINES = 4
+# Part of the lease for which machines with replicas are waited for in such an outage: by then it has all but ended.
+REPLICA_OUTAGE_LEASE_RATIO = 0.9
+# Part of cancel_s after which an unresponsive machine with tasks of a cancelled job is deleted.
+CANCELLED_TASK_RATIO = 0.5
+# Until the cloud's list shows a machine that died as failed.
+FAILURE_LISTED_S = 30.0
+# Jobs whose tasks failed on one machine from which on the machine is at fault.
+CORDON_MIN_FAILED_JOBS = 2
+
+
+class OutageAssessment(NamedTuple):
+    """The unresponsive machines, and whether they have one cause.
+
+    Attributes:
+        unresponsive: machines that have missed heartbeats for too long.
+        missing: how many are overdue, or were deleted as unresponsive within the last lease. Machines send their
+            heartbeats at different moments, so that an outage shows only when these are counted too.
+        threshold: the most of them that are taken for independent failures.
+        monitored: how many machines were looked at.
+    """
+
+    unresponsive: list[Machine]
+    missing: int
+    threshold: float
+    monitored: int
+
+    @property
+    def is_correlated(self) -> bool:
+        """Whether so many are missing that they have one cause, which may pass or lie with this leader."""
+        return self.missing > self.threshold
+
+    @property
+    def is_emerging(self) -> bool:
+        """Whether the missing ones may be the first of a correlated outage."""
+        return self.missing > self.threshold / 2
+
+    @property
+    def is_majority(self) -> bool:
+        """Whether most machines are unresponsive: then none is deleted."""
+        return _is_majority(len(self.unresponsive), self.monitored)
+
+
+def _is_majority(count: int, monitored: int) -> bool:
+    """More than half; a few more in a small cluster, where two machines may well fail at the same time."""
+    return count * 2 > monitored + 2
 
 
 class FailureDetector:
-    """Decides which machines have failed, by the evidence that their reports give."""
+    """Decides from their heartbeats which machines have failed, and has them deleted.
+
+    Args:
+        settings: the node's settings.
+        job_table: tasks of failed machines are freed here as their leases expire.
+        inventory: the machines.
+        leadership: given up when the failure is this node's own.
+        provisioner: deletes failed machines.
+        on_machine_lost: called with the name of a machine that holds attempts although it was deleted.
+    """
 
     def __init__(
         self,
@@ -32,156 +88,180 @@
         inventory: MachineInventory,
         leadership: Leadership,
         provisioner: Provisioner,
+        on_machine_lost: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.job_table = job_table
         self.inventory = inventory
+        self.health = inventory.health
         self.leadership = leadership
         self.provisioner = provisioner
-        self.given_up: deque[float] = deque()  # when machines were given up for silent, over the last lease
+        self.on_machine_lost = on_machine_lost
+        self._deleted_unresponsive_at: deque[float] = deque()  # over the last lease
 
     def evaluate(self, now: float) -> None:
-        """Take note of silence, deafness and ends of leases; have machines deleted that won't serve again."""
-        inventory = self.inventory
-        self.clear_cancelled(now)
-        inventory.health.discovery_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
-        # a machine that holds tasks of an earlier term counts too, though it may never report in this one
-        up = [
-            m
-            for m in inventory.machines.values()
-            if not m.deleting and (m.registered or m.name in self.job_table.attempts_by_machine)
-        ]
-        if self._silence(up, now):
+        """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
+        self.delete_with_cancelled_tasks(now)
+        self.health.discovery_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
+        monitored = self._monitored()
+        outage = self._assess_outage(monitored, now)
+        if self._is_cut_off(outage):
+            self.leadership.abdicate()
             return
-        self._delete_deaf(up, now)
-        for machine in up:
-            self._end_lease(machine, now)
-            self._release(machine)
-        self._delete_late(now)
-        if now - inventory.health.observing_since > 2 * inventory.health.unresponsive_s:
+        if not outage.is_majority:
+            self._delete_unresponsive(outage, now)
+        self._delete_unreachable_inbound(monitored, now)
+        for machine in monitored:
+            self._expire_lease(machine, now)
+            self._delete_reclaimed(machine)
+            self._cordon_faulty(machine)
+        self._delete_boot_timed_out(now)
+        if now - self.health.observing_since > 2 * self.health.unresponsive_s:
             self._resolve_unlisted()
 
-    def _delete_deaf(self, up: list[Machine], now: float) -> None:
-        """Machines that no answer reaches go, unless they are so many that the cause lies elsewhere."""
-        deaf = [machine for machine in up if self.inventory.health.is_unreachable_inbound(machine, now)]
-        if len(deaf) * 2 > len(up) + 2:
+    def delete_with_cancelled_tasks(self, now: float) -> None:
+        """Delete unresponsive machines that may hold tasks of cancelled jobs, before ``cancel_s`` is over.
+
+        A hung machine holds its tasks beyond its lease, until it wakes or is deleted. Neither a correlated outage
+        nor one of the key-value store changes that.
+        """
+        cancelled_before = now - self.settings.cancel_s * CANCELLED_TASK_RATIO
+        for job in self.job_table.cancelled.values():
+            if job.cancelled_at > cancelled_before:
+                continue
+            for attempt in list(job.attempts()):
+                machine = self.inventory.machines.get(attempt.machine)
+                if machine is None or machine.deleting or not self.health.is_unresponsive(machine, now):
+                    continue
+                info(
+                    "cancelled_task_unreachable",
+                    machine=machine.name,
+                    job=job.spec.id,
+                    after_s=round(now - job.cancelled_at, 1),
+                )
+                self.provisioner.deprovision(machine)
+
+    def _monitored(self) -> list[Machine]:
+        """Machines that should send heartbeats.
+
+        One that holds tasks of an earlier term counts too, though it may never send any in this one.
+        """
+        return [
+            machine
+            for machine in self.inventory.machines.values()
+            if not machine.deleting and (machine.registered or machine.name in self.job_table.attempts_by_machine)
+        ]
+
+    # -- unresponsive machines ----------------------------------------------------------------------
+
+    def _assess_outage(self, monitored: list[Machine], now: float) -> OutageAssessment:
+        deleted_at = self._deleted_unresponsive_at
+        while deleted_at and now - deleted_at[0] > self.settings.lease_s:
+            deleted_at.popleft()
+        overdue = sum(self.health.is_heartbeat_overdue(machine, now) for machine in monitored)
+        return OutageAssessment(
+            unresponsive=[machine for machine in monitored if self.health.is_unresponsive(machine, now)],
+            missing=overdue + len(deleted_at),
+            threshold=max(
+                CORRELATED_OUTAGE_MIN_MACHINES, (len(monitored) + len(deleted_at)) / CORRELATED_OUTAGE_DIVISOR
+            ),
+            monitored=len(monitored),
+        )
+
+    def _is_cut_off(self, outage: OutageAssessment) -> bool:
+        """Whether this leader alone is cut off from the workers, which the store and the peers don't show."""
+        return (
+            len(outage.unresponsive) > outage.threshold
+            and self.leadership.workers_elsewhere() * CUT_OFF_WORKERS_DIVISOR > outage.monitored
+        )
+
+    def _delete_unresponsive(self, outage: OutageAssessment, now: float) -> None:
+        for machine in outage.unresponsive:
+            machine.in_correlated_outage = machine.in_correlated_outage or outage.is_correlated
+            if self._may_recover(machine, outage, now):
+                continue
+            unseen_s = now - machine.last_heartbeat_at
+            if machine.name in self.job_table.attempts_by_machine or unseen_s > self.settings.lease_s:
+                info("machine_heartbeat_missed", machine=machine.name, for_s=round(unseen_s, 1))
+                self._deleted_unresponsive_at.append(now)
+                self.provisioner.deprovision(machine)
+
+    def _may_recover(self, machine: Machine, outage: OutageAssessment, now: float) -> bool:
+        """Whether an unresponsive machine is waited for, as part of an outage or as the first of one."""
+        if machine.in_correlated_outage:
+            unseen_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
+            if unseen_s < self._outage_timeout_s(machine):
+                return True
+        unresponsive_s = now - self.health.last_seen_at(machine)
+        return outage.is_emerging and unresponsive_s < self.health.unresponsive_s + self.settings.report_s
+
+    def _outage_timeout_s(self, machine: Machine) -> float:
+        """How long a machine in a correlated outage is waited for.
+
+        The end of a lease frees the tasks, and machines that were cut off come back warm, sooner than new ones
+        would boot. By the end of the time the cloud's list shows which have died. Replicas must be up again
+        before: their machines are deleted as the leases end, which frees them without waiting for the last doubt.
+        """
+        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
+            return self.settings.lease_s * REPLICA_OUTAGE_LEASE_RATIO
+        return self.health.return_timeout_s(machine) + FAILURE_LISTED_S + 2 * self.settings.list_lag_s
+
+    # -- other failures -----------------------------------------------------------------------------
+
+    def _delete_unreachable_inbound(self, monitored: list[Machine], now: float) -> None:
+        """Delete machines that no answer reaches, unless they are so many that the cause lies elsewhere."""
+        unreachable = [machine for machine in monitored if self.health.is_unreachable_inbound(machine, now)]
+        if _is_majority(len(unreachable), len(monitored)):
             return
-        for machine in deaf:
+        for machine in unreachable:
             info(
                 "machine_unreachable_inbound",
                 machine=machine.name,
                 unacknowledged_answers=machine.unacknowledged_answers,
             )
-            self.provisioner.delete(machine)
+            self.provisioner.deprovision(machine)
 
-    def _end_lease(self, machine: Machine, now: float) -> None:
+    def _expire_lease(self, machine: Machine, now: float) -> None:
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.inventory.health.is_lease_expired(machine, now, self.leadership.fenced_at):
+        if not self.health.is_lease_expired(machine, now, self.leadership.fenced_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
             info("worker_lease_expired", machine=machine.name, tasks=lost)
 
-    def _release(self, machine: Machine) -> None:
-        """Give back a machine that is taken soon and is empty; empty a faulty one, and give it back then."""
+    def _delete_reclaimed(self, machine: Machine) -> None:
+        """Delete a spot instance with a preemption notice as soon as it is empty."""
         if (
             machine.reclaim_at is not None
             and machine.name not in self.job_table.attempts_by_machine
             and not machine.orphans
         ):
-            self.provisioner.delete(machine)
-        failures = self.job_table.failures_against(machine) if machine.failed_jobs else 0
-        if failures <= 1:
+            self.provisioner.deprovision(machine)
+
+    def _cordon_faulty(self, machine: Machine) -> None:
+        """Drain a machine on which tasks of several jobs failed, and delete it when it is empty."""
+        failed_jobs = self.job_table.failures_against(machine) if machine.failed_jobs else 0
+        if failed_jobs < CORDON_MIN_FAILED_JOBS:
             return
-        info("machine_cordoned", machine=machine.name, jobs=failures)
+        info("machine_cordoned", machine=machine.name, jobs=failed_jobs)
         drain(self.job_table, machine.name)
         if machine.name not in self.job_table.attempts_by_machine:
-            self.provisioner.delete(machine)
+            self.provisioner.deprovision(machine)
 
-    def _delete_late(self, now: float) -> None:
-        """Machines that should have come up long ago are charged for nothing."""
+    def _delete_boot_timed_out(self, now: float) -> None:
+        """Delete machines that should have registered long ago: they are charged for nothing."""
         for machine in list(self.inventory.machines.values()):
-            if self.inventory.health.boot_timed_out(machine, now):
+            if self.health.boot_timed_out(machine, now):
                 info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.requested_at))
-                self.provisioner.delete(machine)
+                self.provisioner.deprovision(machine)
 
     def _resolve_unlisted(self) -> None:
-        """Machines of records that neither the cloud's list nor a report shows: make sure that they are gone."""
+        """Have machines of stored records deleted that neither the cloud's list nor a heartbeat has shown."""
         for name in list(self.job_table.attempts_by_machine):
             if name not in self.inventory.machines and name not in self.inventory.deleted:
-                self.provisioner.delete_unknown(name)
+                self.provisioner.deprovision_by_name(name)
             elif name in self.inventory.deleted:
-                self.provisioner.on_machine_lost(name)
-
-    def clear_cancelled(self, now: float) -> None:
-        """Have machines deleted that may hold tasks of cancelled jobs and don't report, before the time is up.
-
-        A hung machine holds its tasks beyond its lease, until it wakes or is gone. Neither a crowd's patience nor
-        an outage of the state service changes that.
-        """
-        due = now - self.settings.cancel_s * CLEAR_PART
-        for job in self.job_table.cancelled.values():
-            if job.cancelled_at > due:
-                continue
-            for attempt in list(job.attempts()):
-                machine = self.inventory.machines.get(attempt.machine)
-                if machine is None or machine.deleting or not self.inventory.health.is_unresponsive(machine, now):
-                    continue
-                info(
-                    "cancelled_task_unreachable",
-                    machine=machine.name,
-                    job=job.spec.id,
-                    after_s=round(now - job.cancelled_at, 1),
-                )
-                self.provisioner.delete(machine)
-
-    def _silence(self, up: list[Machine], now: float) -> bool:
-        """Give up what has been silent for too long; True when the fault lies here and the leader made way."""
-        inventory = self.inventory
-        silent = [m for m in up if inventory.health.is_unresponsive(m, now)]
-        while self.given_up and now - self.given_up[0] > self.settings.lease_s:
-            self.given_up.popleft()
-        # machines report at different moments: those that are late already, and those just given up, count as well
-        missing = sum(inventory.health.is_heartbeat_overdue(m, now) for m in up) + len(self.given_up)
-        limit = max(CROWD_LEAST, (len(up) + len(self.given_up)) / CROWD)
-        crowd = missing > limit
-        if len(silent) > limit and self.leadership.workers_elsewhere() * ABDICATE_PART > len(up):
-            # cut off from the workers alone: the state service and the peers don't show it
-            self.leadership.abdicate()
-            return True
-        if len(silent) * 2 <= len(up) + 2:
-            for machine in silent:
-                quiet = now - inventory.health.last_seen_at(machine)
-                machine.in_correlated_outage = machine.in_correlated_outage or crowd
-                if machine.in_correlated_outage and now - max(
-                    machine.last_heartbeat_at, inventory.health.observing_since
-                ) < self._crowd_patience(machine):
-                    continue  # one cause for many may pass, or lie here
-                if missing > limit / 2 and quiet < inventory.health.unresponsive_s + self.settings.report_s:
-                    continue  # may be the first ones of a crowd
-                if (
-                    machine.name in self.job_table.attempts_by_machine
-                    or now - machine.last_heartbeat_at > self.settings.lease_s
-                ):
-                    info(
-                        "machine_heartbeat_missed",
-                        machine=machine.name,
-                        for_s=round(now - machine.last_heartbeat_at, 1),
-                    )
-                    self.given_up.append(now)
-                    self.provisioner.delete(machine)
-        return False
-
-    def _crowd_patience(self, machine: Machine) -> float:
-        """How long one of a crowd of silent machines is waited for.
-
-        A lease's end frees its tasks, and those cut off come back warm, sooner than new ones would boot. By the
-        end of the time the cloud's list shows which have died. Replicas must be up again before: their machines
-        are given up as the leases end, which frees them without waiting for the last doubt.
-        """
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
-        if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
-            return self.settings.lease_s * CROWD_PATIENCE
-        return self.inventory.health.return_timeout_s(machine) + DEATH_SHOWN_S + 2 * self.settings.list_lag_s
+                self.on_machine_lost(name)
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -11,10 +11,10 @@
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import JobTable
 from passrock.core.machine import Machine
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import Command, WorkerHeartbeat
 from passrock.core.preemption import drain
 from passrock.core.reconciler import Reconciler
-from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
 from passrock.settings import Settings
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -19,12 +19,12 @@
 from passrock.core.cancellations import Cancellations
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, TaskAttempt
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.machine_health import MachineHealth
 from passrock.core.model import Priority
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption, stop_softly
 from passrock.core.records import tasks_per_page
-from passrock.core.scaling import MachineCatalog
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.cloud import CloudClient
@@ -76,11 +76,18 @@
             on_commit=self.evaluations.progressed,
             on_lost=lambda: leadership.step_down("leader key lost"),
         )
-        self.provisioner = Provisioner(settings, state, cloud, catalog, self.inventory, leadership)
-        self.provisioner.on_machine_lost = self.machine_lost
-        self.provisioner.on_change = self.evaluations.request
+        self.provisioner = Provisioner(
+            settings,
+            state,
+            cloud,
+            catalog,
+            self.inventory,
+            leadership,
+            on_machine_lost=self.machine_lost,
+            on_change=self.evaluations.request,
+        )
         self.failure_detector = FailureDetector(
-            settings, self.job_table, self.inventory, leadership, self.provisioner
+            settings, self.job_table, self.inventory, leadership, self.provisioner, on_machine_lost=self.machine_lost
         )
         self.autoscaler = Autoscaler(
             settings, self.job_table, self.inventory, catalog, self.scheduler, self.preemption, self.provisioner
@@ -136,9 +143,13 @@
         self._load()
         self.tasks += [
             asyncio.ensure_future(self._guard(work))
-            for work in (self.commit_queue.run(), self.provisioner.list_machines(), self.provisioner.deletions())
+            for work in (
+                self.commit_queue.run(),
+                self.provisioner.poll_machine_list(),
+                self.provisioner.run_deletions(),
+            )
         ]
-        self.provisioner.resume(self.replica.with_prefix(keys.INTENT))
+        self.provisioner.resume_requests(self.replica.with_prefix(keys.INTENT))
         while True:
             await self.evaluations.requested(self.settings.report_s / 4)
             began = monotonic_time()
@@ -215,7 +226,7 @@
         self._last_evaluation = now
         if not self.leadership.holds_lease():
             if self.leadership.may_renew():
-                self.failure_detector.clear_cancelled(now)  # the time for these runs on through an outage
+                self.failure_detector.delete_with_cancelled_tasks(now)  # the time for these runs on through an outage
             return
         self.leadership.check_fence()
         planning = now >= self._plan_due
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -16,8 +16,8 @@
 from passrock.controller.replica import Replica
 from passrock.controller.user_api import UserApi
 from passrock.core.cancellations import Cancellations
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import Command, Op, TaskState, WorkerHeartbeat
-from passrock.core.scaling import MachineCatalog
 from passrock.core.token_bucket import TokenBucket, rate_share
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -1,17 +1,20 @@
-"""Machines rented and given back: intents written ahead, answers remembered, deletions repeated."""
+"""Machines requested from the cloud and deleted again; requests survive a change of leader, deletions are retried."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Iterable
 from typing import Any
 
+import msgspec
+
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.inventory import MachineInventory
 from passrock.core.machine import Machine
+from passrock.core.machine_catalog import MachineCatalog, MachineOffering
 from passrock.core.messages import ListedMachine
-from passrock.core.scaling import MOST_PER_RENTAL, MachineCatalog, Offer
+from passrock.core.scaling import MAX_MACHINES_PER_REQUEST
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError, NoCapacityError
 from passrock.io.state import Committed, StateClient, StateError
@@ -21,10 +24,42 @@
 from passrock.wire.state import Delete, Entry, Put
 
 RETRY_S = 1.0
+MIN_LIST_INTERVAL_S = 2.0
+UNAVAILABLE_BOOT_RATIO = 0.5  # of a type's boot time, for which an offering without capacity is not asked for again
+OUTBOUND_LEASES = 2  # a listed machine that sends no heartbeat for so many leases can't reach the controllers
+LISTED_LAGS = 4  # list lags after which a machine is certain to be in the cloud's list
+
+
+class ProvisioningIntent(msgspec.Struct):
+    """The stored record of a request, written before it is sent so that the next leader can repeat it.
+
+    The request's name makes it idempotent: the cloud answers a repeated one with the machines of the first.
+    """
+
+    machine_type: str = msgspec.field(name="ty")
+    zone: str = msgspec.field(name="z")
+    spot: bool = msgspec.field(name="sp")
+    count: int = msgspec.field(name="n")
+
+    @property
+    def offering(self) -> MachineOffering:
+        """What is asked for."""
+        return MachineOffering(self.machine_type, self.zone, self.spot)
 
 
 class Provisioner:
-    """The leader's dealings with the cloud."""
+    """The leader's requests to the cloud.
+
+    Args:
+        settings: the node's settings.
+        state: where intents are stored.
+        cloud: the cloud's client.
+        catalog: gets the current machine types, and the offerings without capacity.
+        inventory: gets machines as they are provisioned or listed, and loses deleted ones.
+        leadership: requests are sent only while this node leads.
+        on_machine_lost: called with a machine's name when the cloud has confirmed its deletion.
+        on_change: called when a request has ended or an unknown machine was listed.
+    """
 
     def __init__(
         self,
@@ -34,6 +69,8 @@
         catalog: MachineCatalog,
         inventory: MachineInventory,
         leadership: Leadership,
+        on_machine_lost: Callable[[str], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.state = state
@@ -41,111 +78,125 @@
         self.catalog = catalog
         self.inventory = inventory
         self.leadership = leadership
-        self.on_machine_lost: Callable[[str], None] = lambda name: None
-        self.on_change: Callable[[], None] = lambda: None
-        self.pending: dict[Offer, int] = {}
-        self.leaving: dict[str, None] = {}
-        self.running: set[asyncio.Task[None]] = set()
-        self._count = 0
-        self._wake = asyncio.Event()
-        self._listed_up: dict[str, float] = {}
-
-    # -- renting ----------------------------------------------------------------------------------
-
-    def rent(self, offer: Offer, count: int) -> None:
-        """Rent, unless a request for the same kind is on its way."""
-        if offer in self.pending:
+        self.on_machine_lost = on_machine_lost
+        self.on_change = on_change
+        self._requested: set[MachineOffering] = set()
+        self._requests: set[asyncio.Task[None]] = set()
+        self._request_count = 0
+        self._deletion_queue: dict[str, None] = {}
+        self._deletion_queued = asyncio.Event()
+        self._listed_running_since: dict[str, float] = {}
+
+    # -- provisioning -------------------------------------------------------------------------------
+
+    def provision(self, offering: MachineOffering, count: int) -> None:
+        """Request up to ``count`` machines, unless a request for the same offering is in progress."""
+        if offering in self._requested:
             return
-        self._count += 1
-        name = f"{self.leadership.term}-{self._count}"
-        count = min(count, MOST_PER_RENTAL)
-        self.pending[offer] = count
-        self._spawn(self._rent(name, offer, count, written=False))
-
-    def resume(self, intents: list[Entry]) -> None:
+        self._request_count += 1
+        name = f"{self.leadership.term}-{self._request_count}"
+        intent = ProvisioningIntent(
+            offering.machine_type, offering.zone, offering.spot, min(count, MAX_MACHINES_PER_REQUEST)
+        )
+        self._requested.add(offering)
+        self._spawn(self._provision(name, intent, stored=False))
+
+    def resume_requests(self, intents: list[Entry]) -> None:
         """Repeat the requests that an earlier leader may have left unanswered."""
         for entry in intents:
-            value = entry.value
-            offer = Offer(value["ty"], value["z"], value["sp"])
-            self._spawn(self._rent(entry.key[len(keys.INTENT) :], offer, value["n"], written=True))
+            intent = msgspec.convert(entry.value, ProvisioningIntent)
+            self._spawn(self._provision(entry.key[len(keys.INTENT) :], intent, stored=True))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
-        self.running.add(task)
-        task.add_done_callback(self.running.discard)
+        self._requests.add(task)
+        task.add_done_callback(self._requests.discard)
 
-    async def _rent(self, name: str, offer: Offer, count: int, written: bool) -> None:
+    async def _provision(self, name: str, intent: ProvisioningIntent, *, stored: bool) -> None:
         try:
-            if not written:
-                value = {"ty": offer.type, "z": offer.zone, "sp": offer.spot, "n": count}
+            if not stored:
                 result = await self.state.commit(
-                    {keys.LEADER: self.leadership.leader_revision}, [Put(keys.INTENT + name, value)]
+                    {keys.LEADER: self.leadership.leader_revision},
+                    [Put(keys.INTENT + name, msgspec.to_builtins(intent))],
                 )
                 if not isinstance(result, Committed):
                     self.leadership.step_down("leader key lost")
                     return
-            await self._ask(name, offer, count)
+            await self._request(name, intent)
         except StateError as problem:
             debug("provisioning_intent_failed", request=name, error=problem)
         finally:
-            self.pending.pop(offer, None)
+            self._requested.discard(intent.offering)
             self.on_change()
 
-    async def _ask(self, name: str, offer: Offer, count: int) -> None:
+    async def _request(self, name: str, intent: ProvisioningIntent) -> None:
+        """Send a request until the cloud has answered it or the leadership has ended."""
+        offering = intent.offering
         while self.leadership.leading:
             try:
-                machines = await self.cloud.rent(name, offer.type, offer.zone, offer.spot, count)
+                machines = await self.cloud.rent(
+                    name, offering.machine_type, offering.zone, offering.spot, intent.count
+                )
             except NoCapacityError:
-                self._refuse(offer)
+                self._mark_unavailable(offering)
                 machines = ()
             except CloudError as problem:
                 debug("provisioning_failed", request=name, error=problem)
                 await asyncio.sleep(RETRY_S)
                 continue
             info(
-                "machines_provisioned", request=name, zone=offer.zone, spot=offer.spot, asked=count, got=len(machines)
+                "machines_provisioned",
+                request=name,
+                zone=offering.zone,
+                spot=offering.spot,
+                asked=intent.count,
+                got=len(machines),
             )
-            if len(machines) < count:
-                self._refuse(offer)
-            kind = self.catalog.types[offer.type]
-            for machine in machines:
-                if machine not in self.inventory.deleted:
-                    self.inventory.add(machine, kind, offer.zone, offer.spot, monotonic_time())
-            self._spawn(self._settle(name, set(machines)))
+            if len(machines) < intent.count:
+                self._mark_unavailable(offering)
+            self._add_to_inventory(offering, machines)
+            self._spawn(self._delete_intent(name, has_machines=bool(machines)))
             return
 
-    def _refuse(self, offer: Offer) -> None:
-        self.catalog.refuse(offer, monotonic_time() + self.catalog.types[offer.type].boot_s / 2)
+    def _add_to_inventory(self, offering: MachineOffering, names: Iterable[str]) -> None:
+        machine_type = self.catalog.types[offering.machine_type]
+        for name in names:
+            if name not in self.inventory.deleted:
+                self.inventory.add(name, machine_type, offering.zone, offering.spot, monotonic_time())
+
+    def _mark_unavailable(self, offering: MachineOffering) -> None:
+        boot_s = self.catalog.types[offering.machine_type].boot_s
+        self.catalog.mark_unavailable(offering, monotonic_time() + boot_s * UNAVAILABLE_BOOT_RATIO)
 
-    async def _settle(self, name: str, machines: set[str]) -> None:
-        """Drop the intent once its machines would be found without it."""
-        if machines:
-            await asyncio.sleep(self.settings.list_lag_s * 4)
+    async def _delete_intent(self, name: str, *, has_machines: bool) -> None:
+        """Delete an intent once the next leader would find its machines in the cloud's list."""
+        if has_machines:
+            await asyncio.sleep(self.settings.list_lag_s * LISTED_LAGS)
         try:
             await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
         except StateError:
             debug("provisioning_intent_kept", request=name)
 
-    # -- giving back ------------------------------------------------------------------------------
+    # -- deprovisioning -----------------------------------------------------------------------------
 
-    def delete(self, machine: Machine) -> None:
-        """Give a machine back; nothing is placed on it from now on."""
+    def deprovision(self, machine: Machine) -> None:
+        """Have a machine deleted; nothing is placed on it from now on."""
         machine.deleting = True
-        self.delete_unknown(machine.name)
+        self.deprovision_by_name(machine.name)
 
-    def delete_unknown(self, name: str) -> None:
-        """Have a machine deleted of which only the name is known."""
-        if name not in self.leaving:
-            self.leaving[name] = None
-            self._wake.set()
+    def deprovision_by_name(self, name: str) -> None:
+        """Have a machine deleted that may not be in the inventory."""
+        if name not in self._deletion_queue:
+            self._deletion_queue[name] = None
+            self._deletion_queued.set()
 
-    async def deletions(self) -> None:
-        """Delete what is leaving, for ever."""
+    async def run_deletions(self) -> None:
+        """Delete queued machines, for ever."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self.leaving:
-                names = list(self.leaving)[:MOST_PER_DELETE]
+            await self._deletion_queued.wait()
+            self._deletion_queued.clear()
+            while self._deletion_queue:
+                names = list(self._deletion_queue)[:MOST_PER_DELETE]
                 try:
                     await self.cloud.delete(names)
                 except CloudError as problem:
@@ -153,38 +204,42 @@
                     await asyncio.sleep(RETRY_S)
                     continue
                 for name in names:
-                    self.leaving.pop(name, None)
-                    self._listed_up.pop(name, None)
+                    self._deletion_queue.pop(name, None)
+                    self._listed_running_since.pop(name, None)
                     self.inventory.record_deleted(name, monotonic_time())
                     self.on_machine_lost(name)
 
-    # -- the list -----------------------------------------------------------------------------------
+    # -- the cloud's list ---------------------------------------------------------------------------
 
-    async def list_machines(self) -> None:
-        """Read the machine list now and then: the only source on machines nobody knows of."""
+    async def poll_machine_list(self) -> None:
+        """Read the cloud's list at intervals, for ever: the only source on machines that send no heartbeats."""
         while True:
             try:
-                self._listed(await self.cloud.machines())
+                self._process_list(await self.cloud.machines())
                 self.catalog.types = await self.cloud.machine_types()
             except CloudError as problem:
                 debug("machine_list_failed", error=problem)
-            await asyncio.sleep(max(self.settings.list_lag_s, 2.0))
+            await asyncio.sleep(max(self.settings.list_lag_s, MIN_LIST_INTERVAL_S))
 
-    def _listed(self, rows: list[ListedMachine]) -> None:
+    def _process_list(self, rows: list[ListedMachine]) -> None:
         now = monotonic_time()
         for row in rows:
-            kind = self.catalog.types.get(row.type)
-            if row.name in self.inventory.deleted or kind is None:
+            machine_type = self.catalog.types.get(row.type)
+            if row.name in self.inventory.deleted or machine_type is None:
                 continue
             known = row.name in self.inventory.machines
-            machine = self.inventory.add(row.name, kind, row.zone, row.spot, now, row.age)
+            machine = self.inventory.add(row.name, machine_type, row.zone, row.spot, now, row.age)
             if not known:
                 info("machine_discovered", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
                 self.on_change()
             if row.status == "failed":
-                self.delete(machine)
+                self.deprovision(machine)
             elif row.status == "running" and not machine.registered:
-                first = self._listed_up.setdefault(row.name, now)
-                if now - first > self.settings.lease_s * 2 and not machine.deleting:
-                    info("machine_unreachable_outbound", machine=row.name)
-                    self.delete(machine)
+                self._check_outbound(machine, now)
+
+    def _check_outbound(self, machine: Machine, now: float) -> None:
+        """Delete a machine that has run for long without a heartbeat: its outbound direction is broken."""
+        running_since = self._listed_running_since.setdefault(machine.name, now)
+        if now - running_since > self.settings.lease_s * OUTBOUND_LEASES and not machine.deleting:
+            info("machine_unreachable_outbound", machine=machine.name)
+            self.deprovision(machine)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -14,9 +14,9 @@
 from passrock.controller.submissions import PermitLapsedError, Submitter
 from passrock.core.cancellations import Cancellations
 from passrock.core.concurrency_limiter import AdaptiveConcurrencyLimiter
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record, tasks_per_page
-from passrock.core.scaling import MachineCatalog
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.http_server import Request, Response
--- /dev/null
+++ b/src/passrock/core/machine_catalog.py
@@ -0,0 +1,82 @@
+"""The cloud's machine types with their prices, and which of them are unavailable for a while."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import msgspec
+
+from passrock.core.jobs import Job
+from passrock.core.model import MachineType
+from passrock.core.objectives import ServiceLevelObjectives
+
+
+class MachineOffering(msgspec.Struct, frozen=True):
+    """What one request to the cloud can ask for: a machine type in a zone, on demand or as spot instance."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+
+
+class MachineCatalog(msgspec.Struct):
+    """What is known of the cloud's offerings.
+
+    Attributes:
+        types: machine types by name, with current prices.
+        unavailable_until: when an offering without capacity may be asked for again.
+    """
+
+    types: dict[str, MachineType] = msgspec.field(default_factory=dict)
+    unavailable_until: dict[MachineOffering, float] = msgspec.field(default_factory=dict)
+
+    def price(self, offering: MachineOffering) -> float:
+        """The current price an hour."""
+        machine_type = self.types[offering.machine_type]
+        return machine_type.spot_price if offering.spot else machine_type.price
+
+    def offerings_for(self, job: Job, objectives: ServiceLevelObjectives, now: float) -> list[MachineOffering]:
+        """The available offerings that the job's tasks may use, cheapest first.
+
+        A job that may use spot instances gets on-demand machines only when it would miss its objectives
+        otherwise: most of the time it can wait for capacity that is paid for already.
+        """
+        available = [
+            offering
+            for offering in self._allowed(job)
+            if self.is_available(offering, now)
+            and (
+                offering.spot or not job.spec.spot or objectives.presses(job, self.types[offering.machine_type], now)
+            )
+        ]
+        return sorted(available, key=lambda offering: (self.price(offering), offering.zone))
+
+    def buffer_offering(self, free_gpus: dict[str, float], now: float) -> MachineOffering | None:
+        """The cheapest on-demand machine with GPUs, in the zone with the least free capacity."""
+        offerings = [
+            MachineOffering(machine_type.name, zone, False)
+            for machine_type in self.types.values()
+            for zone in machine_type.zones
+            if machine_type.size.gpus > 0 and self.is_available(MachineOffering(machine_type.name, zone, False), now)
+        ]
+        return min(
+            offerings,
+            key=lambda offering: (free_gpus.get(offering.zone, 0.0), self.price(offering), offering.zone),
+            default=None,
+        )
+
+    def is_available(self, offering: MachineOffering, now: float) -> bool:
+        """Whether the cloud has not lately been without capacity for it."""
+        return self.unavailable_until.get(offering, 0.0) <= now
+
+    def mark_unavailable(self, offering: MachineOffering, until: float) -> None:
+        """The cloud has no capacity for the offering; it is not asked again before ``until``."""
+        self.unavailable_until[offering] = until
+
+    def _allowed(self, job: Job) -> Iterator[MachineOffering]:
+        for machine_type in self.types.values():
+            if job.spec.resources.fits(machine_type.size):
+                for zone in machine_type.zones:
+                    for spot in (True, False):
+                        if job.spec.allows(machine_type.name, zone, spot):
+                            yield MachineOffering(machine_type.name, zone, spot)
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -1,4 +1,4 @@
-"""The binding round: which machine belongs to which team's reservation."""
+"""The binding round: which machine is assigned to which team's reservation."""
 
 from __future__ import annotations
 
@@ -6,9 +6,17 @@
 
 import msgspec
 
+MIN_SHORTFALL = 1e-6  # less than this is rounding
 
-class Unit(msgspec.Struct, frozen=True):
-    """A machine as the round sees it; ``size`` in relative resource units."""
+
+class MachineView(msgspec.Struct, frozen=True):
+    """A machine as the round sees it.
+
+    Attributes:
+        size: its capacity in relative resource units.
+        idle: whether no task runs there.
+        teams: whose tasks run there.
+    """
 
     name: str
     zone: str
@@ -17,8 +25,13 @@
     teams: frozenset[str] = frozenset()
 
 
-class Claim(msgspec.Struct, frozen=True):
-    """What a team asks for: desired capacity, the guaranteed part of it, and the buffered part."""
+class ReservationRequest(msgspec.Struct, frozen=True):
+    """The capacity that a team asks for, in relative resource units.
+
+    Attributes:
+        guaranteed: the part of ``desired`` that comes before any other team's further demand.
+        buffered: what must be left when the largest zone is lost.
+    """
 
     team: str
     desired: float
@@ -26,166 +39,206 @@
     buffered: float = 0.0
 
 
-class Binding(msgspec.Struct):
-    """The outcome of a round."""
+class BindingResult(msgspec.Struct):
+    """The outcome of a round: each assigned machine's team, and the capacity that teams still lack."""
 
-    owner: dict[str, str] = msgspec.field(default_factory=dict)
-    short: dict[str, float] = msgspec.field(default_factory=dict)
-    thin: dict[str, list[str]] = msgspec.field(default_factory=dict)
+    assignments: dict[str, str] = msgspec.field(default_factory=dict)
+    shortfalls: dict[str, float] = msgspec.field(default_factory=dict)
 
 
-def pages(names: list[str], most_bytes: float) -> list[list[str]]:
-    """A reservation's machines in parts that fit a record each; at least one part."""
-    found: list[list[str]] = [[]]
-    size = 0
+def split_into_pages(names: list[str], max_bytes: float) -> list[list[str]]:
+    """A reservation's machines in pages that fit a stored record each; at least one page."""
+    pages: list[list[str]] = [[]]
+    page_bytes = 0
     for name in names:
-        taken = len(name.encode()) + 3  # quotes and a comma
-        if size + taken > most_bytes and found[-1]:
-            found.append([])
-            size = 0
-        found[-1].append(name)
-        size += taken
-    return found
-
-
-def goal(claim: Claim, largest: float, zones: int) -> float:
-    """The total at which a reservation is whole: losing its largest zone leaves the buffered part."""
-    if zones < 2 or claim.buffered <= 0:
-        return claim.desired
-    return max(claim.desired, claim.buffered + largest)
-
-
-class Shelf:
-    """Units by zone and size, each lot in the order of their use; a round looks at the lots, not at every unit."""
-
-    def __init__(self, units: Iterable[Unit]) -> None:
-        self._lots: dict[tuple[str, float], list[tuple[bool, str, Unit]]] = {}
-        for unit in units:
-            self._lots.setdefault((unit.zone, unit.size), []).append((not unit.idle, unit.name, unit))
-        for lot in self._lots.values():
-            lot.sort(key=lambda row: row[:2], reverse=True)
-
-    def firsts(self, gone: Container[str]) -> Iterator[Unit]:
-        """The first unit of each lot that is not among those taken elsewhere."""
-        for lot in self._lots.values():
-            while lot and lot[-1][1] in gone:
-                lot.pop()
-            if lot:
-                yield lot[-1][2]
-
-
-class Part:
-    """A reservation while a round is at work on it."""
-
-    def __init__(self, claim: Claim, zones: tuple[str, ...]) -> None:
-        self.claim = claim
-        self.units: dict[str, Unit] = {}
-        self.zones = len(zones)
-        self.sizes = dict.fromkeys(zones, 0.0)
-        self.total = 0.0
-
-    def add(self, unit: Unit) -> None:
-        """Bind a unit."""
-        self.units[unit.name] = unit
-        self.sizes[unit.zone] = self.sizes.get(unit.zone, 0.0) + unit.size
-        self.total += unit.size
-
-    def drop(self, unit: Unit) -> None:
-        """Release a unit."""
-        del self.units[unit.name]
-        self.sizes[unit.zone] -= unit.size
-        self.total -= unit.size
-
-    def goal(self) -> float:
-        """The total at which it is whole."""
-        return goal(self.claim, max(self.sizes.values()), self.zones)
-
-    def lacking(self, guaranteed_only: bool = False) -> float:
-        """How much it lacks, of the guaranteed part alone or of all."""
-        if guaranteed_only:
-            return min(self.claim.guaranteed, self.claim.desired) - self.total
-        return self.goal() - self.total
+        name_bytes = len(name.encode()) + 3  # quotes and a comma
+        if page_bytes + name_bytes > max_bytes and pages[-1]:
+            pages.append([])
+            page_bytes = 0
+        pages[-1].append(name)
+        page_bytes += name_bytes
+    return pages
 
 
-def shed(part: Part) -> list[Unit]:
-    """Release what a reservation has too much, idle units first and of those the ones in the fullest zone.
+class FreeMachinePool:
+    """Free machines grouped by zone and size, in the order in which they are assigned.
 
-    A unit that runs the team's own work is never moved for balance alone.
+    Machines of one group differ only in that order, so that a round compares the groups' first machines instead
+    of all of them.
     """
-    team = part.claim.team
-    loose = [unit for unit in part.units.values() if team not in unit.teams]
-    lots: dict[tuple[str, float], list[Unit]] = {}
-    for unit in sorted(loose, key=lambda u: (u.idle, u.name)):
-        lots.setdefault((unit.zone, unit.size), []).append(unit)
-    released: list[Unit] = []
-    while True:
-        whole = part.goal()
-        spare = [lot[-1] for lot in lots.values() if lot and part.total - lot[-1].size >= whole]
-        if not spare:
-            return released
-        unit = max(spare, key=lambda u: (u.idle, part.sizes[u.zone], u.name))
-        lots[(unit.zone, unit.size)].pop()
-        part.drop(unit)
-        released.append(unit)
+
+    def __init__(self, machines: Iterable[MachineView]) -> None:
+        self._groups: dict[tuple[str, float], list[tuple[bool, str, MachineView]]] = {}
+        for machine in machines:
+            group = self._groups.setdefault((machine.zone, machine.size), [])
+            group.append((not machine.idle, machine.name, machine))
+        for group in self._groups.values():
+            group.sort(key=lambda row: row[:2], reverse=True)
+
+    def candidates(self, assigned: Container[str]) -> Iterator[MachineView]:
+        """The first machine of each group that is not among the ``assigned`` ones."""
+        for group in self._groups.values():
+            while group and group[-1][1] in assigned:
+                group.pop()
+            if group:
+                yield group[-1][2]
+
+
+class ReservationState:
+    """A reservation while a round assigns machines to it."""
+
+    def __init__(self, request: ReservationRequest, zones: tuple[str, ...]) -> None:
+        self.request = request
+        self.machines: dict[str, MachineView] = {}
+        self.zone_count = len(zones)
+        self.capacity_by_zone = dict.fromkeys(zones, 0.0)
+        self.capacity = 0.0
+
+    def assign(self, machine: MachineView) -> None:
+        """Add a machine."""
+        size = machine.size
+        self.machines[machine.name] = machine
+        self.capacity_by_zone[machine.zone] = self.capacity_by_zone.get(machine.zone, 0.0) + size
+        self.capacity += size
+
+    def release(self, machine: MachineView) -> None:
+        """Remove a machine."""
+        size = machine.size
+        del self.machines[machine.name]
+        self.capacity_by_zone[machine.zone] -= size
+        self.capacity -= size
+
+    def target_capacity(self) -> float:
+        """The capacity that satisfies the request: losing the largest zone leaves the buffered part."""
+        request = self.request
+        if self.zone_count < 2 or request.buffered <= 0:
+            return request.desired
+        return max(request.desired, request.buffered + max(self.capacity_by_zone.values()))
+
+    def shortfall(self, *, guaranteed_only: bool = False) -> float:
+        """The capacity that is lacking, of the guaranteed part alone or of all; negative for a surplus."""
+        if guaranteed_only:
+            return min(self.request.guaranteed, self.request.desired) - self.capacity
+        return self.target_capacity() - self.capacity
+
+    def release_surplus(self) -> list[MachineView]:
+        """Release what exceeds the target, idle machines first and of those the ones in the largest zone.
+
+        A machine that runs the team's own tasks is never moved for balance alone.
+        """
+        groups = self._releasable()
+        released: list[MachineView] = []
+        while True:
+            target = self.target_capacity()
+            surplus = [group[-1] for group in groups.values() if group and self.capacity - group[-1].size >= target]
+            if not surplus:
+                return released
+            machine = max(surplus, key=lambda m: (m.idle, self.capacity_by_zone[m.zone], m.name))
+            groups[(machine.zone, machine.size)].pop()
+            self.release(machine)
+            released.append(machine)
+
+    def _releasable(self) -> dict[tuple[str, float], list[MachineView]]:
+        """Machines without the team's tasks by zone and size; the last one of each group is released first."""
+        foreign = [machine for machine in self.machines.values() if self.request.team not in machine.teams]
+        groups: dict[tuple[str, float], list[MachineView]] = {}
+        for machine in sorted(foreign, key=lambda m: (m.idle, m.name)):
+            groups.setdefault((machine.zone, machine.size), []).append(machine)
+        return groups
+
+    def best_of(self, candidates: Iterable[MachineView], zone_share: float | None) -> MachineView:
+        """The machine to assign next.
+
+        It keeps its zone within ``zone_share`` of the desired capacity (None: no limit), runs the team's tasks
+        already, is in the zone with the least capacity, and is idle; in this order.
+        """
+        limit = None if zone_share is None else zone_share * max(self.request.desired, 1.0)
+
+        def preference(machine: MachineView) -> tuple[bool, bool, float, bool, str]:
+            zone_capacity = self.capacity_by_zone.get(machine.zone, 0.0)
+            exceeds_limit = limit is not None and zone_capacity + machine.size > limit
+            return (
+                exceeds_limit,
+                self.request.team not in machine.teams,
+                zone_capacity,
+                not machine.idle,
+                machine.name,
+            )
+
+        return min(candidates, key=preference)
 
 
 def bind(
-    units: list[Unit], claims: list[Claim], current: dict[str, str], zones: tuple[str, ...], alpha_extra: float
-) -> Binding:
-    """Keep what serves, shed the surplus idle first, then give free machines to whoever lacks most."""
-    result = Binding()
-    by_name = {unit.name: unit for unit in units}
-    parts = {claim.team: Part(claim, zones) for claim in claims}
-    free: dict[str, Unit] = dict(by_name)
+    machines: list[MachineView],
+    requests: list[ReservationRequest],
+    current: dict[str, str],
+    zones: tuple[str, ...],
+    extra_zone_share: float,
+) -> BindingResult:
+    """Hold one binding round.
+
+    Assignments that still serve are kept, surplus machines released, and free machines given to whichever
+    reservation lacks most: first for the guaranteed capacity of all teams, then for the rest.
+
+    Args:
+        machines: all that can be assigned.
+        requests: one for each team.
+        current: the team of each assigned machine, as the last round left it.
+        zones: all zones of the cluster.
+        extra_zone_share: by how much a zone's share of a reservation may exceed an even spread over the zones
+            but one.
+    """
+    reservations = {request.team: ReservationState(request, zones) for request in requests}
+    free = _restore_assignments(machines, current, reservations)
+    for reservation in reservations.values():
+        for machine in reservation.release_surplus():
+            free[machine.name] = machine
+    zone_share = 1.0 / (len(zones) - 1) + extra_zone_share if len(zones) > 1 else None
+    _assign_free_machines(reservations, free, zone_share)
+    result = BindingResult()
+    for team, reservation in reservations.items():
+        result.assignments.update(dict.fromkeys(reservation.machines, team))
+        shortfall = reservation.shortfall()
+        if shortfall > MIN_SHORTFALL:
+            result.shortfalls[team] = shortfall
+    return result
+
+
+def _restore_assignments(
+    machines: list[MachineView], current: dict[str, str], reservations: dict[str, ReservationState]
+) -> dict[str, MachineView]:
+    """Put the last round's assignments into the reservations; returns the machines that are in none."""
+    by_name = {machine.name: machine for machine in machines}
+    free = dict(by_name)
     for name, team in current.items():
-        unit = by_name.get(name)
-        if unit is not None and team in parts:
-            parts[team].add(unit)
+        machine = by_name.get(name)
+        if machine is not None and team in reservations:
+            reservations[team].assign(machine)
             del free[name]
-    for part in parts.values():
-        for unit in shed(part):
-            free[unit.name] = unit
-    alpha = 1.0 / (len(zones) - 1) + alpha_extra if len(zones) > 1 else None
-    shelf = Shelf(free.values())
-    own = {team: Shelf(unit for unit in free.values() if team in unit.teams) for team in parts}
-    taken: set[str] = set()
+    return free
+
+
+def _assign_free_machines(
+    reservations: dict[str, ReservationState], free: dict[str, MachineView], zone_share: float | None
+) -> None:
+    """Give the free machines away one by one, until none is left or no reservation lacks any."""
+    pool = FreeMachinePool(free.values())
+    pool_of_team = {
+        team: FreeMachinePool(machine for machine in free.values() if team in machine.teams) for team in reservations
+    }
+    assigned: set[str] = set()
     for guaranteed_only in (True, False):
-        while len(taken) < len(free):
-            lack, team = max(
-                ((part.lacking(guaranteed_only), team) for team, part in parts.items()), default=(0.0, "")
+        while len(assigned) < len(free):
+            shortfall, team = max(
+                (
+                    (reservation.shortfall(guaranteed_only=guaranteed_only), team)
+                    for team, reservation in reservations.items()
+                ),
+                default=(0.0, ""),
             )
-            if lack <= 1e-6:
+            if shortfall <= MIN_SHORTFALL:
                 break
-            part = parts[team]
-            limit = None if alpha is None else alpha * max(part.claim.desired, 1.0)
-
-            def fit(
-                unit: Unit, team: str = team, part: Part = part, limit: float | None = limit
-            ) -> tuple[bool, bool, float, bool, str]:
-                size = part.sizes.get(unit.zone, 0.0)
-                over = limit is not None and size + unit.size > limit
-                return (over, team not in unit.teams, size, not unit.idle, unit.name)
-
-            unit = min((*own[team].firsts(taken), *shelf.firsts(taken)), key=fit)
-            part.add(unit)
-            taken.add(unit.name)
-    for team, part in parts.items():
-        for name in part.units:
-            result.owner[name] = team
-        lack = part.lacking()
-        if lack > 1e-6:
-            result.short[team] = lack
-        result.thin[team] = sorted(zones, key=lambda zone: (part.sizes[zone], zone))
-    return result
-
-
-def zone_gap(production: dict[str, float], room: dict[str, float], zones: tuple[str, ...]) -> float:
-    """How much room is lacking for production work, should the worst zone be lost.
-
-    Room counts where it is idle or lent to work that gives way. All teams lose a zone at the same
-    time, so this is judged over all reservations together.
-    """
-    if len(zones) < 2:
-        return 0.0
-    total = sum(room.values())
-    return max(0.0, *(production.get(zone, 0.0) - (total - room.get(zone, 0.0)) for zone in zones))
+            candidates = (*pool_of_team[team].candidates(assigned), *pool.candidates(assigned))
+            machine = reservations[team].best_of(candidates, zone_share)
+            reservations[team].assign(machine)
+            assigned.add(machine.name)
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -1,111 +1,80 @@
-"""What to rent for waiting work, and which idle machines to give back."""
+"""What to scale out for waiting tasks, and which idle machines to scale in."""
 
 from __future__ import annotations
 
 import math
 from bisect import bisect_left
+from collections.abc import Iterator
 
 import msgspec
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.jobs import Job, JobTable, smallest_request
 from passrock.core.machine import Machine
-from passrock.core.model import NOTHING, JobKind, MachineType, Resources, Team
+from passrock.core.machine_catalog import MachineCatalog, MachineOffering
+from passrock.core.model import NOTHING, JobKind, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
-LEAST_CHARGED_S = 60.0  # the cloud charges a deleted machine for at least this long
-SMALL_ARRAY = 64  # so many tasks are given a place each, however short they are
-MOST_PER_RENTAL = 50  # machines that one request can rent
+MINIMUM_CHARGE_S = 60.0  # the cloud charges a deleted machine for at least this long
+SMALL_ARRAY_TASKS = 64  # up to this many tasks get a slot each, however short they are
+MAX_MACHINES_PER_REQUEST = 50  # machines that one request to the cloud can ask for
 
 
-class Offer(msgspec.Struct, frozen=True):
-    """A kind of machine that can be rented."""
+class CapacityBin(msgspec.Struct):
+    """A machine that exists, is booting or would be provisioned, with the capacity that is not planned for yet."""
 
-    type: str
-    zone: str
-    spot: bool
+    offering: MachineOffering
+    free_capacity: Resources
 
+    def accepts(self, job: Job) -> bool:
+        """Whether at least one of the job's tasks may run here and fits."""
+        offering = self.offering
+        return job.spec.resources.fits(self.free_capacity) and job.spec.allows(
+            offering.machine_type, offering.zone, offering.spot
+        )
 
-class Bin(msgspec.Struct):
-    """A machine that is on its way, or would be rented."""
+    def fill(self, resources: Resources, max_tasks: int) -> int:
+        """Plan up to ``max_tasks`` tasks here; returns how many fit."""
+        count = resources.count_in(self.free_capacity, max_tasks)
+        self.free_capacity = self.free_capacity - resources.times(count)
+        return count
 
-    offer: Offer
-    room: Resources
 
+class _GangOption(msgspec.Struct):
+    """One way to place a whole gang: tasks on bins that exist, and new machines for the missing ones."""
 
-class MachineCatalog(msgspec.Struct):
-    """What is known of the cloud: types with prices, and what was refused until when."""
+    cost: float
+    placements: list[tuple[CapacityBin, int]]
+    missing: int
+    offering: MachineOffering | None
+    """For the missing tasks; None when there are none."""
 
-    types: dict[str, MachineType] = msgspec.field(default_factory=dict)
-    refused: dict[Offer, float] = msgspec.field(default_factory=dict)
 
-    def price(self, offer: Offer) -> float:
-        """The current price an hour."""
-        kind = self.types[offer.type]
-        return kind.spot_price if offer.spot else kind.price
-
-    def offers(self, job: Job, objectives: ServiceLevelObjectives, now: float) -> list[Offer]:
-        """What the job may use and the cloud has not refused lately, cheapest first.
-
-        A job that may use cheap machines gets a dear one only when it would be late otherwise: most
-        of its time it can wait for room that is paid for already.
-        """
-        found = [
-            Offer(kind.name, zone, spot)
-            for kind in self.types.values()
-            if job.spec.resources.fits(kind.size)
-            for zone in kind.zones
-            for spot in (True, False)
-            if job.spec.allows(kind.name, zone, spot)
-        ]
-        open_ones = [
-            offer
-            for offer in found
-            if self.refused.get(offer, 0.0) <= now
-            and (offer.spot or not job.spec.spot or objectives.presses(job, self.types[offer.type], now))
-        ]
-        return sorted(open_ones, key=lambda offer: (self.price(offer), offer.zone))
-
-    def buffer_offer(self, room: dict[str, float], now: float) -> Offer | None:
-        """The cheapest ordinary machine for the buffer, in the zone with the least room."""
-        offers = [
-            Offer(kind.name, zone, False)
-            for kind in self.types.values()
-            for zone in kind.zones
-            if kind.size.gpus > 0 and self.refused.get(Offer(kind.name, zone, False), 0.0) <= now
-        ]
-        return min(offers, key=lambda offer: (room.get(offer.zone, 0.0), self.price(offer), offer.zone), default=None)
-
-    def refuse(self, offer: Offer, until: float) -> None:
-        """None to be had for a while."""
-        self.refused[offer] = until
-
-
-def in_reach(job: Job, teams: dict[str, Team], used: dict[str, Resources]) -> int:
-    """How many of the job's waiting tasks the team's limit would let run, given planned use."""
+def tasks_within_quota(job: Job, teams: dict[str, Team], planned_usage: dict[str, Resources]) -> int:
+    """How many of the job's waiting tasks the team's quota would let run, given the usage planned so far."""
     team = teams.get(job.spec.team)
     if team is None:
-        return 0  # taken out of the settings: nothing is started for it
-    planned = used.get(team.name, NOTHING)
+        return 0  # removed from the settings: nothing is started for it
+    planned = planned_usage.get(team.name, NOTHING)
 
-    def is_over(count: int) -> bool:
+    def exceeds_quota(count: int) -> bool:
         return not team.within_limit(planned + job.spec.resources.times(count))
 
     if job.spec.kind is JobKind.GANG:
-        return 0 if is_over(job.waiting) else job.waiting
-    return bisect_left(range(1, _at_once(job) + 1), True, key=is_over)
+        return 0 if exceeds_quota(job.waiting) else job.waiting
+    return bisect_left(range(1, _tasks_worth_a_slot(job) + 1), True, key=exceeds_quota)
 
 
-def _at_once(job: Job) -> int:
-    """How many of a job's waiting tasks are worth a place of their own.
+def _tasks_worth_a_slot(job: Job) -> int:
+    """How many of a job's waiting tasks are worth capacity of their own.
 
-    A machine is charged for a least time, in which one place runs several short tasks one after the other. A huge
-    array of tasks of four seconds had all spot machines rented at once otherwise.
+    A machine has a minimum charge, in which one slot runs several short tasks one after the other. A huge
+    array of tasks of four seconds had all spot instances provisioned at once otherwise.
     """
     if job.spec.kind is JobKind.SERVICE:
         return job.waiting
-    worth = math.ceil(job.waiting * min(1.0, job.spec.estimate / LEAST_CHARGED_S))
-    return max(worth, min(job.waiting, SMALL_ARRAY))
+    slots = math.ceil(job.waiting * min(1.0, job.spec.estimate / MINIMUM_CHARGE_S))
+    return max(slots, min(job.waiting, SMALL_ARRAY_TASKS))
 
 
 def plan_scale_out(
@@ -116,140 +85,179 @@
     catalog: MachineCatalog,
     objectives: ServiceLevelObjectives,
     now: float,
-) -> dict[Offer, int]:
-    """How many machines of which kind to rent so that the queue's tasks find room.
+) -> dict[MachineOffering, int]:
+    """How many machines of which offering to provision so that the queue's tasks find capacity.
 
-    Machines on their way are filled first. A gang that must stay in one zone counts the room that
-    the zone has already.
+    Booting machines are filled first. A gang also counts the free capacity of machines that are up, as it may
+    have to join them in one zone.
     """
-    bins = [
-        Bin(Offer(m.type.name, m.zone, m.spot), m.type.size)
-        for m in inventory.machines.values()
-        if (not m.registered and not m.deleting)
-        or (m.name not in job_table.attempts_by_machine and inventory.health.may_return(m, now))
-    ]
-    # whatever has no room for the smallest waiting task is left out: on a full fleet that is nearly all of it
-    least = smallest_request(queue)
-    rooms = [
-        Bin(Offer(m.type.name, m.zone, m.spot), m.free_capacity)
-        for m in inventory.machines.values()
-        if m.has_capacity_for(least) and inventory.health.is_schedulable(m, now)
-    ]
-    used = dict(job_table.usage)
-    wanted: dict[Offer, int] = {}
+    smallest = smallest_request(queue)
+    booting = _booting_bins(job_table, inventory, now)
+    free = _free_bins(inventory, smallest, now)
+    planned_usage = dict(job_table.usage)
+    machine_counts: dict[MachineOffering, int] = {}
     for job in queue:
-        count = in_reach(job, teams, used)
+        count = tasks_within_quota(job, teams, planned_usage)
         if count == 0:
             continue
-        used[job.spec.team] = used.get(job.spec.team, NOTHING) + job.spec.resources.times(count)
+        planned_usage[job.spec.team] = planned_usage.get(job.spec.team, NOTHING) + job.spec.resources.times(count)
         if job.spec.kind is JobKind.GANG:
-            added = _gang_bins(job, count, bins, rooms, catalog, objectives, now)
+            added = _scale_out_for_gang(job, count, free + booting, catalog, objectives, now)
         else:
-            added = _each_bins(job, count, bins, catalog, objectives, now)
+            added = _scale_out_for_tasks(job, count, booting, catalog, objectives, now)
         for new in added:
-            wanted[new.offer] = wanted.get(new.offer, 0) + 1
-        bins = [one for one in bins + added if least.fits(one.room)]
-        rooms = [one for one in rooms if least.fits(one.room)]
-    return wanted
+            machine_counts[new.offering] = machine_counts.get(new.offering, 0) + 1
+        booting = [candidate for candidate in booting + added if smallest.fits(candidate.free_capacity)]
+        free = [candidate for candidate in free if smallest.fits(candidate.free_capacity)]
+    return machine_counts
+
+
+def _booting_bins(job_table: JobTable, inventory: MachineInventory, now: float) -> list[CapacityBin]:
+    """Machines that will have capacity soon: not registered yet, or expected back without any tasks."""
+    return [
+        _bin(machine, machine.type.size)
+        for machine in inventory.machines.values()
+        if (not machine.registered and not machine.deleting)
+        or (machine.name not in job_table.attempts_by_machine and inventory.health.may_return(machine, now))
+    ]
 
 
-def _suits(job: Job, one: Bin, zone: str | None) -> bool:
-    offer = one.offer
-    return (
-        job.spec.resources.fits(one.room)
-        and (zone is None or offer.zone == zone)
-        and job.spec.allows(offer.type, offer.zone, offer.spot)
-    )
+def _free_bins(inventory: MachineInventory, smallest: Resources, now: float) -> list[CapacityBin]:
+    """Machines with capacity for the smallest waiting task: in a busy cluster that leaves out nearly all."""
+    return [
+        _bin(machine, machine.free_capacity)
+        for machine in inventory.machines.values()
+        if machine.has_capacity_for(smallest) and inventory.health.is_schedulable(machine, now)
+    ]
+
+
+def _bin(machine: Machine, free_capacity: Resources) -> CapacityBin:
+    return CapacityBin(MachineOffering(machine.type.name, machine.zone, machine.spot), free_capacity)
 
 
-def _each_bins(
-    job: Job, count: int, bins: list[Bin], catalog: MachineCatalog, objectives: ServiceLevelObjectives, now: float
-) -> list[Bin]:
+def _scale_out_for_tasks(
+    job: Job,
+    count: int,
+    booting: list[CapacityBin],
+    catalog: MachineCatalog,
+    objectives: ServiceLevelObjectives,
+    now: float,
+) -> list[CapacityBin]:
+    """Fill booting machines, those with the fewest free GPUs first, and add the cheapest ones for the rest."""
     resources = job.spec.resources
-    added: list[Bin] = []
-    for one in sorted((one for one in bins if _suits(job, one, None)), key=lambda one: one.room.gpus):
+    candidates = [candidate for candidate in booting if candidate.accepts(job)]
+    for candidate in sorted(candidates, key=lambda candidate: candidate.free_capacity.gpus):
         if not count:
-            return added
-        count -= _fill(one, resources, count)
-    offers = catalog.offers(job, objectives, now) if count else []
-    while count and offers and len(added) < MOST_PER_RENTAL:
-        one = Bin(offers[0], catalog.types[offers[0].type].size)
-        count -= _fill(one, resources, count)
-        added.append(one)
+            return []
+        count -= candidate.fill(resources, count)
+    offerings = catalog.offerings_for(job, objectives, now) if count else []
+    if not offerings:
+        return []
+    added: list[CapacityBin] = []
+    while count and len(added) < MAX_MACHINES_PER_REQUEST:
+        new = CapacityBin(offerings[0], catalog.types[offerings[0].machine_type].size)
+        count -= new.fill(resources, count)
+        added.append(new)
     return added
 
 
-def _fill(one: Bin, resources: Resources, most: int) -> int:
-    """Use a bin for up to ``most`` tasks; returns how many."""
-    count = resources.count_in(one.room, most)
-    one.room = one.room - resources.times(count)
-    return count
+def _scale_out_for_gang(
+    job: Job,
+    count: int,
+    bins: list[CapacityBin],
+    catalog: MachineCatalog,
+    objectives: ServiceLevelObjectives,
+    now: float,
+) -> list[CapacityBin]:
+    """Take the cheapest option for the whole gang; none is added when no option places all of it."""
+    options = _gang_options(job, count, bins, catalog, objectives, now)
+    best = min(options, key=lambda option: option.cost, default=None)
+    if best is None:
+        return []
+    resources = job.spec.resources
+    for candidate, tasks in best.placements:
+        candidate.free_capacity = candidate.free_capacity - resources.times(tasks)
+    added: list[CapacityBin] = []
+    missing = best.missing
+    while missing and best.offering is not None:
+        new = CapacityBin(best.offering, catalog.types[best.offering.machine_type].size)
+        missing -= new.fill(resources, missing)
+        added.append(new)
+    return added
 
 
-def _gang_bins(
+def _gang_options(
     job: Job,
     count: int,
-    bins: list[Bin],
-    rooms: list[Bin],
+    bins: list[CapacityBin],
     catalog: MachineCatalog,
     objectives: ServiceLevelObjectives,
     now: float,
-) -> list[Bin]:
-    resources = job.spec.resources
-    offers = catalog.offers(job, objectives, now)
-    fitting = [one for one in rooms + bins if _suits(job, one, None)]
+) -> Iterator[_GangOption]:
+    """The options for a gang: one for each zone when it has to stay in one, otherwise a single one."""
+    offerings = catalog.offerings_for(job, objectives, now)
+    candidates = [candidate for candidate in bins if candidate.accepts(job)]
     zones: list[str | None] = [None]
     if job.spec.one_zone:
-        zones = list(dict.fromkeys([offer.zone for offer in offers] + [one.offer.zone for one in fitting]))
-    best: tuple[float, list[tuple[Bin, int]], Offer | None, int] | None = None
+        zones = list(
+            dict.fromkeys(
+                [offering.zone for offering in offerings] + [candidate.offering.zone for candidate in candidates]
+            )
+        )
     for zone in zones:
-        here = [offer for offer in offers if zone is None or offer.zone == zone]
-        takes: list[tuple[Bin, int]] = []
-        missing = count
-        for one in fitting:
-            if not missing:
-                break
-            if zone is None or one.offer.zone == zone:
-                slots = resources.count_in(one.room, missing)
-                takes.append((one, slots))
-                missing -= slots
-        if missing and not here:
+        placements, missing = _place_in_zone(job.spec.resources, count, candidates, zone)
+        if not missing:
+            yield _GangOption(0.0, placements, 0, None)
             continue
-        price = missing * catalog.price(here[0]) if missing else 0.0
-        if best is None or price < best[0]:
-            best = (price, takes, here[0] if missing else None, missing)
-    if best is None:
-        return []
-    for one, slots in best[1]:
-        one.room = one.room - resources.times(slots)
-    added: list[Bin] = []
-    offer = best[2]
-    if offer is not None:
-        size = catalog.types[offer.type].size
-        missing = best[3]
-        while missing:
-            new = Bin(offer, size)
-            missing -= _fill(new, resources, missing)
-            added.append(new)
-    return added
+        cheapest = next((offering for offering in offerings if zone in (None, offering.zone)), None)
+        if cheapest is not None:
+            yield _GangOption(missing * catalog.price(cheapest), placements, missing, cheapest)
+
+
+def _place_in_zone(
+    resources: Resources, count: int, candidates: list[CapacityBin], zone: str | None
+) -> tuple[list[tuple[CapacityBin, int]], int]:
+    """How many tasks each candidate of the zone (or of any, for None) would take, and how many are left over."""
+    placements: list[tuple[CapacityBin, int]] = []
+    missing = count
+    for candidate in candidates:
+        if not missing:
+            break
+        if zone in (None, candidate.offering.zone):
+            tasks = resources.count_in(candidate.free_capacity, missing)
+            placements.append((candidate, tasks))
+            missing -= tasks
+    return placements, missing
 
 
 def plan_scale_in(
-    inventory: MachineInventory, job_table: JobTable, patience: dict[str, float], now: float
+    inventory: MachineInventory, job_table: JobTable, idle_timeout_s: dict[str, float], now: float
 ) -> list[Machine]:
-    """Idle machines that have waited long enough for work.
+    """Idle machines that have waited long enough for work, on-demand machines first, then the longest idle.
 
-    A cheap spot machine may wait longer than a dear one, in the ratio of their prices, and no
-    machine goes before the time that is charged anyway.
+    ``idle_timeout_s`` is by machine type and for on-demand machines; a spot instance may wait longer, in the
+    ratio of the prices. No machine is deleted in the time that is charged anyway.
     """
-    going = []
+    surplus = []
     for machine in inventory.machines.values():
         if not machine.registered or machine.deleting or machine.idle_since is None:
             continue
         if machine.name in job_table.attempts_by_machine:
             continue
         price = machine.type.spot_price if machine.spot else machine.type.price
-        wait = patience[machine.type.name] * (machine.type.price / price if price > 0 else 1.0)
-        if now - machine.idle_since >= wait and now - machine.requested_at >= LEAST_CHARGED_S:
-            going.append(machine)
-    return sorted(going, key=lambda m: (m.spot, m.idle_since or 0.0))
+        timeout_s = idle_timeout_s[machine.type.name] * (machine.type.price / price if price > 0 else 1.0)
+        if now - machine.idle_since >= timeout_s and now - machine.requested_at >= MINIMUM_CHARGE_S:
+            surplus.append(machine)
+    return sorted(surplus, key=lambda machine: (machine.spot, machine.idle_since or 0.0))
+
+
+def zone_loss_shortfall(production: dict[str, float], available: dict[str, float], zones: tuple[str, ...]) -> float:
+    """How many GPUs production work would lack if the worst zone were lost.
+
+    ``available`` counts GPUs that are idle or lent to work that can be preempted. All teams lose a zone at the
+    same time, so this is judged over all reservations together.
+    """
+    if len(zones) < 2:
+        return 0.0
+    total = sum(available.values())
+    return max(0.0, *(production.get(zone, 0.0) - (total - available.get(zone, 0.0)) for zone in zones))
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -30,7 +30,7 @@
 
 
 def waits_for_a_crowd_with_cancelled_tasks(monkeypatch):
-    monkeypatch.setattr(FailureDetector, "clear_cancelled", lambda self, now: None)
+    monkeypatch.setattr(FailureDetector, "delete_with_cancelled_tasks", lambda self, now: None)
 
 
 def takes_whatever_comes(monkeypatch):
--- a/tests/test_scaling_and_submission_checks.py
+++ b/tests/test_scaling_and_submission_checks.py
@@ -4,9 +4,10 @@
 
 from builders import AIMS, BOX, TEAMS, SchedulerHarness, spec
 from passrock.core.concurrency_limiter import AdaptiveConcurrencyLimiter
+from passrock.core.machine_catalog import MachineCatalog, MachineOffering
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, Resources, Team
-from passrock.core.scaling import MachineCatalog, Offer, plan_scale_in, plan_scale_out
+from passrock.core.scaling import plan_scale_in, plan_scale_out
 from passrock.core.submission_checks import fault
 from passrock.core.token_bucket import TokenBucket
 
@@ -15,11 +16,11 @@
 
 # waiting jobs -> machines to rent
 RENTALS = [
-    ([{"tasks": 3}], {Offer("box", "a", False): 2}),
-    ([{"tasks": 3, "spot": True}], {Offer("box", "a", True): 2}),
-    ([{"tasks": 3, "kind": JobKind.GANG, "one_zone": True}], {Offer("box", "a", False): 2}),
-    ([{"tasks": 20}], {Offer("box", "a", False): 4}),  # up to the team's limit
-    ([{"zone": "b"}], {Offer("box", "b", False): 1}),
+    ([{"tasks": 3}], {MachineOffering("box", "a", False): 2}),
+    ([{"tasks": 3, "spot": True}], {MachineOffering("box", "a", True): 2}),
+    ([{"tasks": 3, "kind": JobKind.GANG, "one_zone": True}], {MachineOffering("box", "a", False): 2}),
+    ([{"tasks": 20}], {MachineOffering("box", "a", False): 4}),  # up to the team's limit
+    ([{"zone": "b"}], {MachineOffering("box", "b", False): 1}),
 ]
 
 
@@ -62,15 +63,15 @@
     harness.job(1, spot=True, job_class="late")
     catalog = MachineCatalog({"box": BOX})
     for zone in BOX.zones:
-        catalog.refuse(Offer("box", zone, True), 50.0)
+        catalog.mark_unavailable(MachineOffering("box", zone, True), 50.0)
     queue = harness.scheduler.queue(0.0)
     assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 0.0) == {}
     late = plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 285.0)
-    assert late == {Offer("box", "a", True): 1}  # no longer refused by then
+    assert late == {MachineOffering("box", "a", True): 1}  # no longer refused by then
     for zone in BOX.zones:
-        catalog.refuse(Offer("box", zone, True), 500.0)
+        catalog.mark_unavailable(MachineOffering("box", zone, True), 500.0)
     assert plan_scale_out(queue, harness.job_table, harness.inventory, TEAMS, catalog, AIMS, 285.0) == {
-        Offer("box", "a", False): 1
+        MachineOffering("box", "a", False): 1
     }
 
 
