--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -30,21 +30,24 @@
 LISTED_LAGS = 4  # list lags after which a machine is certain to be in the cloud's list
 
 
-class ProvisioningIntent(msgspec.Struct):
+class ProvisioningIntent(msgspec.Struct, frozen=True):
     """The stored record of a request, written before it is sent so that the next leader can repeat it.
 
     The request's name makes it idempotent: the cloud answers a repeated one with the machines of the first.
     """
 
-    machine_type: str = msgspec.field(name="ty")
-    zone: str = msgspec.field(name="z")
-    spot: bool = msgspec.field(name="sp")
-    count: int = msgspec.field(name="n")
+    offering: MachineOffering
+    count: int
 
-    @property
-    def offering(self) -> MachineOffering:
-        """What is asked for."""
-        return MachineOffering(self.machine_type, self.zone, self.spot)
+    def encode(self) -> dict[str, Any]:
+        """The stored form."""
+        offering = self.offering
+        return {"ty": offering.machine_type, "z": offering.zone, "sp": offering.spot, "n": self.count}
+
+    @classmethod
+    def decode(cls, record: dict[str, Any]) -> ProvisioningIntent:
+        """The reverse of ``encode``; KeyError if the record lacks a field."""
+        return cls(MachineOffering(record["ty"], record["z"], record["sp"]), record["n"])
 
 
 class Provisioner:
@@ -95,16 +98,14 @@
             return
         self._request_count += 1
         name = f"{self.leadership.term}-{self._request_count}"
-        intent = ProvisioningIntent(
-            offering.machine_type, offering.zone, offering.spot, min(count, MAX_MACHINES_PER_REQUEST)
-        )
+        intent = ProvisioningIntent(offering, min(count, MAX_MACHINES_PER_REQUEST))
         self._requested.add(offering)
         self._spawn(self._provision(name, intent, stored=False))
 
     def resume_requests(self, intents: list[Entry]) -> None:
         """Repeat the requests that an earlier leader may have left unanswered."""
         for entry in intents:
-            intent = msgspec.convert(entry.value, ProvisioningIntent)
+            intent = ProvisioningIntent.decode(entry.value)
             self._spawn(self._provision(entry.key[len(keys.INTENT) :], intent, stored=True))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -117,7 +118,7 @@
             if not stored:
                 result = await self.state.commit(
                     {keys.LEADER: self.leadership.leader_revision},
-                    [Put(keys.INTENT + name, msgspec.to_builtins(intent))],
+                    [Put(keys.INTENT + name, intent.encode())],
                 )
                 if not isinstance(result, Committed):
                     self.leadership.step_down("leader key lost")
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passrock.core.model import EPSILON, NOTHING, JobSpec, MachineType, Resources
+from passrock.core.model import EPSILON, ZERO_RESOURCES, JobSpec, MachineType, Resources
 
 # A single answer is lost now and then; this many in a row without effect mean that none reaches the machine.
 MAX_UNACKNOWLEDGED_ANSWERS = 2
@@ -56,7 +56,7 @@
     """Images that are being fetched, with their sizes in GB."""
     orphans: dict[tuple[str, int], Resources] = msgspec.field(default_factory=dict)
     """Tasks that run here without an attempt in the job table; they occupy capacity until they stop."""
-    used: Resources = NOTHING
+    used: Resources = ZERO_RESOURCES
     """What the attempts in the job table occupy."""
 
     @property
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -44,10 +44,7 @@
         available = [
             offering
             for offering in self._allowed(job)
-            if self.is_available(offering, now)
-            and (
-                offering.spot or not job.spec.spot or objectives.presses(job, self.types[offering.machine_type], now)
-            )
+            if self.is_available(offering, now) and self._is_worth_its_price(offering, job, objectives, now)
         ]
         return sorted(available, key=lambda offering: (self.price(offering), offering.zone))
 
@@ -73,6 +70,13 @@
         """The cloud has no capacity for the offering; it is not asked again before ``until``."""
         self.unavailable_until[offering] = until
 
+    def _is_worth_its_price(
+        self, offering: MachineOffering, job: Job, objectives: ServiceLevelObjectives, now: float
+    ) -> bool:
+        if offering.spot or not job.spec.allows_spot:
+            return True
+        return objectives.presses(job, self.types[offering.machine_type], now)
+
     def _allowed(self, job: Job) -> Iterator[MachineOffering]:
         for machine_type in self.types.values():
             if job.spec.resources.fits(machine_type.size):
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -12,7 +12,7 @@
 from passrock.core.jobs import Job, JobTable, smallest_request
 from passrock.core.machine import Machine
 from passrock.core.machine_catalog import MachineCatalog, MachineOffering
-from passrock.core.model import NOTHING, JobKind, Resources, Team
+from passrock.core.model import ZERO_RESOURCES, JobKind, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
 MINIMUM_CHARGE_S = 60.0  # the cloud charges a deleted machine for at least this long
@@ -35,8 +35,8 @@
 
     def fill(self, resources: Resources, max_tasks: int) -> int:
         """Plan up to ``max_tasks`` tasks here; returns how many fit."""
-        count = resources.count_in(self.free_capacity, max_tasks)
-        self.free_capacity = self.free_capacity - resources.times(count)
+        count = resources.fit_count(self.free_capacity, max_tasks)
+        self.free_capacity = self.free_capacity - resources.scaled(count)
         return count
 
 
@@ -55,10 +55,10 @@
     team = teams.get(job.spec.team)
     if team is None:
         return 0  # removed from the settings: nothing is started for it
-    planned = planned_usage.get(team.name, NOTHING)
+    planned = planned_usage.get(team.name, ZERO_RESOURCES)
 
     def exceeds_quota(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.resources.times(count))
+        return not team.within_limit(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
         return 0 if exceeds_quota(job.waiting) else job.waiting
@@ -73,7 +73,7 @@
     """
     if job.spec.kind is JobKind.SERVICE:
         return job.waiting
-    slots = math.ceil(job.waiting * min(1.0, job.spec.estimate / MINIMUM_CHARGE_S))
+    slots = math.ceil(job.waiting * min(1.0, job.spec.estimated_run_s / MINIMUM_CHARGE_S))
     return max(slots, min(job.waiting, SMALL_ARRAY_TASKS))
 
 
@@ -100,7 +100,8 @@
         count = tasks_within_quota(job, teams, planned_usage)
         if count == 0:
             continue
-        planned_usage[job.spec.team] = planned_usage.get(job.spec.team, NOTHING) + job.spec.resources.times(count)
+        team_usage = planned_usage.get(job.spec.team, ZERO_RESOURCES)
+        planned_usage[job.spec.team] = team_usage + job.spec.resources.scaled(count)
         if job.spec.kind is JobKind.GANG:
             added = _scale_out_for_gang(job, count, free + booting, catalog, objectives, now)
         else:
@@ -176,7 +177,7 @@
         return []
     resources = job.spec.resources
     for candidate, tasks in best.placements:
-        candidate.free_capacity = candidate.free_capacity - resources.times(tasks)
+        candidate.free_capacity = candidate.free_capacity - resources.scaled(tasks)
     added: list[CapacityBin] = []
     missing = best.missing
     while missing and best.offering is not None:
@@ -198,7 +199,7 @@
     offerings = catalog.offerings_for(job, objectives, now)
     candidates = [candidate for candidate in bins if candidate.accepts(job)]
     zones: list[str | None] = [None]
-    if job.spec.one_zone:
+    if job.spec.single_zone:
         zones = list(
             dict.fromkeys(
                 [offering.zone for offering in offerings] + [candidate.offering.zone for candidate in candidates]
@@ -224,7 +225,7 @@
         if not missing:
             break
         if zone in (None, candidate.offering.zone):
-            tasks = resources.count_in(candidate.free_capacity, missing)
+            tasks = resources.fit_count(candidate.free_capacity, missing)
             placements.append((candidate, tasks))
             missing -= tasks
     return placements, missing
