--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -37,7 +37,7 @@
     Attributes:
         machines: the number of machines.
         waiting: asked for by waiting tasks.
-        booting: of machines that are not registered yet.
+        booting: of machines that have not sent a heartbeat yet.
         idle: of machines without attempts.
         placed: of attempts that are not running yet.
         running: of running attempts.
@@ -154,7 +154,7 @@
         for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
             used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
-            if not machine.registered:
+            if not machine.heartbeat_received:
                 sums.booting += machine.type.size.gpus
             elif not attempts:
                 sums.idle += machine.type.size.gpus
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -146,10 +146,11 @@
 
         One that holds tasks of an earlier term counts too, though it may never send any in this one.
         """
+        with_attempts = self.job_table.attempts_by_machine
         return [
             machine
             for machine in self.inventory.machines.values()
-            if not machine.deleting and (machine.registered or machine.name in self.job_table.attempts_by_machine)
+            if not machine.deleting and (machine.heartbeat_received or machine.name in with_attempts)
         ]
 
     # -- unresponsive machines ----------------------------------------------------------------------
@@ -252,7 +253,7 @@
             self.provisioner.deprovision(machine)
 
     def _delete_boot_timed_out(self, now: float) -> None:
-        """Delete machines that should have registered long ago: they are charged for nothing."""
+        """Delete machines that should have sent a heartbeat long ago: they are charged for nothing."""
         for machine in list(self.inventory.machines.values()):
             if self.health.boot_timed_out(machine, now):
                 info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.requested_at))
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -56,7 +56,7 @@
         if kind is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
         known = self.inventory.machines.get(heartbeat.machine)
-        was_usable = known is not None and known.registered and known.acknowledged_term
+        was_usable = known is not None and known.heartbeat_received and known.acknowledged_term
         machine = self.inventory.observe(heartbeat, kind, now)
         if machine is None:
             return None  # a late copy, or of a machine that is gone: an answer could only renew by mistake
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -235,7 +235,7 @@
                 self.on_change()
             if row.status == "failed":
                 self.deprovision(machine)
-            elif row.status == "running" and not machine.registered:
+            elif row.status == "running" and not machine.heartbeat_received:
                 self._check_outbound(machine, now)
 
     def _check_outbound(self, machine: Machine, now: float) -> None:
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -54,10 +54,10 @@
         if self._is_outdated(heartbeat, machine, now):
             return None
         # the first heartbeat after missed ones may have been delayed too, its answer reaching nobody
-        machine.on_probation = machine.registered and self.health.is_unresponsive(machine, now)
-        if not machine.registered:
-            machine.registered = True
-            machine.registered_at = machine.idle_since = now
+        machine.on_probation = machine.heartbeat_received and self.health.is_unresponsive(machine, now)
+        if not machine.heartbeat_received:
+            machine.heartbeat_received = True
+            machine.first_heartbeat_at = machine.idle_since = now
         elif heartbeat.incarnation > machine.incarnation and now - machine.last_answer_at < self.health.lease_s:
             machine.record_unacknowledged_answer(now)  # its lease ran out although it was answered
         if (
@@ -81,7 +81,7 @@
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return True
         return (
-            machine.registered
+            machine.heartbeat_received
             and heartbeat.incarnation == machine.incarnation
             and now - machine.last_answer_at > self.health.max_lease_s()
         )
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -23,9 +23,9 @@
     """When it was rented, or created according to the cloud's list."""
 
     # -- heartbeats and reachability: see ``MachineHealth`` for what is concluded from them
-    registered: bool = False
-    """Whether this leader has received a heartbeat of the machine."""
-    registered_at: float = 0.0
+    heartbeat_received: bool = False
+    """Whether any arrived in this leader's term."""
+    first_heartbeat_at: float = 0.0
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = 0.0
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -58,15 +58,14 @@
 
     def last_seen_at(self, machine: Machine) -> float:
         """The moment from which missing heartbeats count."""
-        return max(
-            machine.last_heartbeat_at, self.observing_since + (0.0 if machine.registered else self.discovery_s)
-        )
+        discovery_s = 0.0 if machine.heartbeat_received else self.discovery_s
+        return max(machine.last_heartbeat_at, self.observing_since + discovery_s)
 
     def may_return(self, machine: Machine, now: float) -> bool:
-        """Whether a registered machine is unresponsive but still expected back, so that it needs no replacement."""
+        """Whether an unresponsive machine is still expected back, so that it needs no replacement."""
         unseen_s = now - self.last_seen_at(machine)
         return (
-            machine.registered
+            machine.heartbeat_received
             and not machine.deleting
             and self.unresponsive_s < unseen_s < self.return_timeout_s(machine)
         )
@@ -76,12 +75,12 @@
         return self.lease_s + machine.type.boot_s
 
     def boot_timed_out(self, machine: Machine, now: float) -> bool:
-        """Whether a machine should have registered by now.
+        """Whether a machine should have sent its first heartbeat by now.
 
         A new leader hears of old machines from the cloud's list before their workers have found it:
         their age says nothing until it has led for a while.
         """
-        if machine.registered or machine.deleting or now - self.observing_since < 2 * self.lease_s:
+        if machine.heartbeat_received or machine.deleting or now - self.observing_since < 2 * self.lease_s:
             return False
         return now - machine.requested_at > BOOT_TIMEOUT_FACTOR * machine.type.boot_s + self.lease_s
 
@@ -92,16 +91,16 @@
         one. Nothing is placed before a heartbeat carries this term's fencing token, which only an answer can
         have delivered.
         """
-        if not machine.registered or machine.deleting:
+        if not machine.heartbeat_received or machine.deleting:
             return False
         return machine.unacknowledged_answers >= MAX_UNACKNOWLEDGED_ANSWERS or (
-            not machine.acknowledged_term and now - machine.registered_at > self.lease_s
+            not machine.acknowledged_term and now - machine.first_heartbeat_at > self.lease_s
         )
 
     def is_schedulable(self, machine: Machine, now: float) -> bool:
         """Whether tasks may be placed on the machine now."""
         return (
-            machine.registered
+            machine.heartbeat_received
             and now - machine.last_heartbeat_at <= self.heartbeat_interval_s * UNRESPONSIVE_INTERVALS
             and machine.is_reachable
             and not machine.deleting
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -114,11 +114,11 @@
 
 
 def _booting_bins(job_table: JobTable, inventory: MachineInventory, now: float) -> list[CapacityBin]:
-    """Machines that will have capacity soon: not registered yet, or expected back without any tasks."""
+    """Machines that will have capacity soon: without a heartbeat yet, or expected back without any tasks."""
     return [
         _bin(machine, machine.type.size)
         for machine in inventory.machines.values()
-        if (not machine.registered and not machine.deleting)
+        if (not machine.heartbeat_received and not machine.deleting)
         or (machine.name not in job_table.attempts_by_machine and inventory.health.may_return(machine, now))
     ]
 
@@ -241,7 +241,7 @@
     """
     surplus = []
     for machine in inventory.machines.values():
-        if not machine.registered or machine.deleting or machine.idle_since is None:
+        if not machine.heartbeat_received or machine.deleting or machine.idle_since is None:
             continue
         if machine.name in job_table.attempts_by_machine:
             continue
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -11,7 +11,7 @@
 
 BOX = MachineType("box", Resources(16, 2, 64), 100.0, 1.0, 5.0, 1.5, 10.0, ("a", "b", "c"))
 TEAMS = {name: Team(name, 0, 0, 4, 8) for name in ("t0", "t1")}
-AIMS = ServiceLevelObjectives(
+OBJECTIVES = ServiceLevelObjectives(
     (
         Objective("wait", "soon", 30.0, 0.9),
         Objective("finished", "soon", 200.0, 0.9),
@@ -48,12 +48,12 @@
 
 
 class SchedulerHarness:
-    """A book, a fleet and a placer, without a controller."""
+    """A job table, an inventory and a scheduler, without a controller."""
 
     def __init__(self, machines=(("m1", "a", False),), page=50):
         self.job_table = JobTable(page)
         self.inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), TERM)
-        self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, AIMS)
+        self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, OBJECTIVES)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
         for name, zone, spot in machines:
@@ -74,7 +74,7 @@
         self.job_table.uncommitted.clear()
 
     def refresh(self, now):
-        """Every machine has just reported, and nothing runs there."""
+        """Every machine has just sent a heartbeat, and nothing runs there."""
         for machine in self.inventory.machines.values():
             machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
 
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -169,7 +169,7 @@
 def test_lease_evidence(answered, fenced, now, up, over):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    machine.last_answer_at, machine.registered = answered, up
+    machine.last_answer_at, machine.heartbeat_received = answered, up
     assert harness.inventory.health.is_lease_expired(machine, now, fenced) is over
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -85,7 +85,11 @@
     """A leader that counts a lease from what the machine showed, not from what it was answered."""
 
     def shown(self, machine, now, fenced):
-        return fenced is not None and machine.registered and now - max(machine.registered_at, fenced) > self.lease_s
+        return (
+            fenced is not None
+            and machine.heartbeat_received
+            and now - max(machine.first_heartbeat_at, fenced) > self.lease_s
+        )
 
     monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
     days = (play(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
--- /dev/null
+++ b/tests/test_submission_checks.py
@@ -0,0 +1,30 @@
+"""Which submissions are rejected because their job could never run."""
+
+import pytest
+
+from builders import BOX, TEAMS, spec
+from passrock.core.model import JobKind, Resources, Team
+from passrock.core.submission_checks import fault
+
+
+@pytest.mark.parametrize(
+    ("fields", "refused"),
+    [
+        ({}, False),
+        ({"team": "nobody"}, True),
+        ({"resources": Resources(17, 1, 1)}, True),
+        ({"types": ("other",)}, True),
+        ({"zone": "z"}, True),
+        ({"tasks": 100}, False),
+        ({"tasks": 9, "kind": JobKind.GANG}, True),
+        ({"tasks": 9, "kind": JobKind.SERVICE}, True),
+        ({"tasks": 8, "kind": JobKind.GANG}, False),
+    ],
+)
+def test_jobs_that_can_never_run(fields, refused):
+    assert (fault(spec(**fields), TEAMS, {"box": BOX}) is not None) is refused
+
+
+def test_limits_of_zero_are_none():
+    assert Team("t", 0, 0, 0, 0).within_limit(Resources(1e6, 1e6, 0))
+    assert not Team("t", 0, 0, 0, 0).within_guarantee(Resources(1, 0, 0))
