--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -116,7 +116,7 @@
             self._delete_reclaimed(machine)
             self._cordon_faulty(machine)
         self._delete_boot_timed_out(now)
-        if now - self.health.observing_since > 2 * self.health.unresponsive_s:
+        if now - self.health.observing_since > 2 * self.health.unresponsive_after_s:
             self._resolve_unlisted()
 
     def delete_with_cancelled_tasks(self, now: float) -> None:
@@ -190,11 +190,11 @@
     def _may_recover(self, machine: Machine, outage: OutageAssessment, now: float) -> bool:
         """Whether an unresponsive machine is waited for, as part of an outage or as the first of one."""
         if machine.in_correlated_outage:
-            unseen_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
-            if unseen_s < self._outage_timeout_s(machine):
+            outage_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
+            if outage_s < self._outage_timeout_s(machine):
                 return True
-        unresponsive_s = now - self.health.last_seen_at(machine)
-        return outage.is_emerging and unresponsive_s < self.health.unresponsive_s + self.settings.report_s
+        unseen_s = now - self.health.last_seen_at(machine)
+        return outage.is_emerging and unseen_s < self.health.unresponsive_after_s + self.settings.report_s
 
     def _outage_timeout_s(self, machine: Machine) -> float:
         """How long a machine in a correlated outage is waited for.
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -41,7 +41,7 @@
     ) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
         self.lease_s = lease_s
-        self.unresponsive_s = unresponsive_after(heartbeat_interval_s, lease_s, lease_ratio)
+        self.unresponsive_after_s = unresponsive_after(heartbeat_interval_s, lease_s, lease_ratio)
         self.observing_since = observing_since
         self.discovery_s = 0.0
 
@@ -50,7 +50,7 @@
 
         One that has not found this leader yet may still wait for an answer of the last one.
         """
-        return now - self.last_seen_at(machine) > self.unresponsive_s
+        return now - self.last_seen_at(machine) > self.unresponsive_after_s
 
     def is_heartbeat_overdue(self, machine: Machine, now: float) -> bool:
         """Whether a heartbeat is missing, though not long enough for ``is_unresponsive``."""
@@ -67,7 +67,7 @@
         return (
             machine.heartbeat_received
             and not machine.deleting
-            and self.unresponsive_s < unseen_s < self.return_timeout_s(machine)
+            and self.unresponsive_after_s < unseen_s < self.return_timeout_s(machine)
         )
 
     def return_timeout_s(self, machine: Machine) -> float:
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -91,6 +91,7 @@
     Booting machines are filled first. A gang also counts the free capacity of machines that are up, as it may
     have to join them in one zone.
     """
+    planner = _ScaleOutPlanner(catalog, objectives, now)
     smallest = smallest_request(queue)
     booting = _booting_bins(job_table, inventory, now)
     free = _free_bins(inventory, smallest, now)
@@ -103,9 +104,9 @@
         team_usage = planned_usage.get(job.spec.team, ZERO_RESOURCES)
         planned_usage[job.spec.team] = team_usage + job.spec.resources.scaled(count)
         if job.spec.kind is JobKind.GANG:
-            added = _scale_out_for_gang(job, count, free + booting, catalog, objectives, now)
+            added = planner.add_for_gang(job, count, free + booting)
         else:
-            added = _scale_out_for_tasks(job, count, booting, catalog, objectives, now)
+            added = planner.add_for_tasks(job, count, booting)
         for new in added:
             machine_counts[new.offering] = machine_counts.get(new.offering, 0) + 1
         booting = [candidate for candidate in booting + added if smallest.fits(candidate.free_capacity)]
@@ -136,83 +137,64 @@
     return CapacityBin(MachineOffering(machine.type.name, machine.zone, machine.spot), free_capacity)
 
 
-def _scale_out_for_tasks(
-    job: Job,
-    count: int,
-    booting: list[CapacityBin],
-    catalog: MachineCatalog,
-    objectives: ServiceLevelObjectives,
-    now: float,
-) -> list[CapacityBin]:
-    """Fill booting machines, those with the fewest free GPUs first, and add the cheapest ones for the rest."""
-    resources = job.spec.resources
-    candidates = [candidate for candidate in booting if candidate.accepts(job)]
-    for candidate in sorted(candidates, key=lambda candidate: candidate.free_capacity.gpus):
-        if not count:
+class _ScaleOutPlanner:
+    """Places the tasks of one job after the other on bins, and adds new machines for those that don't fit."""
+
+    def __init__(self, catalog: MachineCatalog, objectives: ServiceLevelObjectives, now: float) -> None:
+        self.catalog = catalog
+        self.objectives = objectives
+        self.now = now
+
+    def add_for_tasks(self, job: Job, count: int, booting: list[CapacityBin]) -> list[CapacityBin]:
+        """Fill booting machines, those with the fewest free GPUs first, and add the cheapest ones for the rest."""
+        candidates = [candidate for candidate in booting if candidate.accepts(job)]
+        for candidate in sorted(candidates, key=lambda candidate: candidate.free_capacity.gpus):
+            if not count:
+                return []
+            count -= candidate.fill(job.spec.resources, count)
+        offerings = self.catalog.offerings_for(job, self.objectives, self.now) if count else []
+        added: list[CapacityBin] = []
+        while count and offerings and len(added) < MAX_MACHINES_PER_REQUEST:
+            new = self._new_machine(offerings[0])
+            count -= new.fill(job.spec.resources, count)
+            added.append(new)
+        return added
+
+    def add_for_gang(self, job: Job, count: int, bins: list[CapacityBin]) -> list[CapacityBin]:
+        """Take the cheapest option for the whole gang; none is added when no option places all of it."""
+        best = min(self._gang_options(job, count, bins), key=lambda option: option.cost, default=None)
+        if best is None:
             return []
-        count -= candidate.fill(resources, count)
-    offerings = catalog.offerings_for(job, objectives, now) if count else []
-    if not offerings:
-        return []
-    added: list[CapacityBin] = []
-    while count and len(added) < MAX_MACHINES_PER_REQUEST:
-        new = CapacityBin(offerings[0], catalog.types[offerings[0].machine_type].size)
-        count -= new.fill(resources, count)
-        added.append(new)
-    return added
-
-
-def _scale_out_for_gang(
-    job: Job,
-    count: int,
-    bins: list[CapacityBin],
-    catalog: MachineCatalog,
-    objectives: ServiceLevelObjectives,
-    now: float,
-) -> list[CapacityBin]:
-    """Take the cheapest option for the whole gang; none is added when no option places all of it."""
-    options = _gang_options(job, count, bins, catalog, objectives, now)
-    best = min(options, key=lambda option: option.cost, default=None)
-    if best is None:
-        return []
-    resources = job.spec.resources
-    for candidate, tasks in best.placements:
-        candidate.free_capacity = candidate.free_capacity - resources.scaled(tasks)
-    added: list[CapacityBin] = []
-    missing = best.missing
-    while missing and best.offering is not None:
-        new = CapacityBin(best.offering, catalog.types[best.offering.machine_type].size)
-        missing -= new.fill(resources, missing)
-        added.append(new)
-    return added
-
-
-def _gang_options(
-    job: Job,
-    count: int,
-    bins: list[CapacityBin],
-    catalog: MachineCatalog,
-    objectives: ServiceLevelObjectives,
-    now: float,
-) -> Iterator[_GangOption]:
-    """The options for a gang: one for each zone when it has to stay in one, otherwise a single one."""
-    offerings = catalog.offerings_for(job, objectives, now)
-    candidates = [candidate for candidate in bins if candidate.accepts(job)]
-    zones: list[str | None] = [None]
-    if job.spec.single_zone:
-        zones = list(
-            dict.fromkeys(
-                [offering.zone for offering in offerings] + [candidate.offering.zone for candidate in candidates]
-            )
-        )
-    for zone in zones:
-        placements, missing = _place_in_zone(job.spec.resources, count, candidates, zone)
-        if not missing:
-            yield _GangOption(0.0, placements, 0, None)
-            continue
-        cheapest = next((offering for offering in offerings if zone in (None, offering.zone)), None)
-        if cheapest is not None:
-            yield _GangOption(missing * catalog.price(cheapest), placements, missing, cheapest)
+        resources = job.spec.resources
+        for candidate, tasks in best.placements:
+            candidate.free_capacity = candidate.free_capacity - resources.scaled(tasks)
+        added: list[CapacityBin] = []
+        missing = best.missing
+        while missing and best.offering is not None:
+            new = self._new_machine(best.offering)
+            missing -= new.fill(resources, missing)
+            added.append(new)
+        return added
+
+    def _new_machine(self, offering: MachineOffering) -> CapacityBin:
+        return CapacityBin(offering, self.catalog.types[offering.machine_type].size)
+
+    def _gang_options(self, job: Job, count: int, bins: list[CapacityBin]) -> Iterator[_GangOption]:
+        """The options for a gang: one for each zone when it has to stay in one, otherwise a single one."""
+        offerings = self.catalog.offerings_for(job, self.objectives, self.now)
+        candidates = [candidate for candidate in bins if candidate.accepts(job)]
+        zones: list[str | None] = [None]
+        if job.spec.single_zone:
+            offered = [offering.zone for offering in offerings]
+            zones = list(dict.fromkeys(offered + [candidate.offering.zone for candidate in candidates]))
+        for zone in zones:
+            placements, missing = _place_in_zone(job.spec.resources, count, candidates, zone)
+            if not missing:
+                yield _GangOption(0.0, placements, 0, None)
+                continue
+            cheapest = next((offering for offering in offerings if zone in (None, offering.zone)), None)
+            if cheapest is not None:
+                yield _GangOption(missing * self.catalog.price(cheapest), placements, missing, cheapest)
 
 
 def _place_in_zone(
