--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -7,7 +7,8 @@
 
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable
+from passrock.core.job import Job
+from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobKind, Priority
@@ -106,7 +107,7 @@
         return gpus
 
     def _production_gpus(self, machine: Machine) -> float:
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         return sum(
             attempt.job.spec.resources.gpus
             for attempt in attempts
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -12,7 +12,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.core.image_hints import encode_image_hints
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import TaskState
@@ -152,7 +152,7 @@
         )
         sums = ClusterGpus(len(self.inventory.machines), waiting)
         for machine in self.inventory.machines.values():
-            attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+            attempts = self.job_table.attempts_on(machine.name)
             used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.heartbeat_received:
                 sums.booting += machine.type.size.gpus
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -9,7 +9,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable
+from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_health import WORKER_WAIT_S
 from passrock.core.model import Priority
@@ -203,7 +203,7 @@
         would boot. By the end of the time the cloud's list shows which have died. Replicas must be up again
         before: their machines are deleted as the leases end, which frees them without waiting for the last doubt.
         """
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
             return self.settings.lease_s * REPLICA_OUTAGE_LEASE_RATIO
         return self.health.return_timeout_s(machine) + FAILURE_LISTED_S + 2 * self.settings.list_lag_s
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -62,7 +62,7 @@
             machine.record_unacknowledged_answer(now)  # its lease ran out although it was answered
         if (
             heartbeat.incarnation == machine.incarnation
-            and now - machine.last_unacknowledged_at > 2 * self.health.max_lease_s()
+            and now - machine.last_unacknowledged_at > 2 * self.health.max_lease_s
         ):
             machine.unacknowledged_answers = 0  # an incarnation outlives a lease only if answers arrive again
         machine.acknowledged_term = machine.acknowledged_term or heartbeat.token == self.term
@@ -83,7 +83,7 @@
         return (
             machine.heartbeat_received
             and heartbeat.incarnation == machine.incarnation
-            and now - machine.last_answer_at > self.health.max_lease_s()
+            and now - machine.last_answer_at > self.health.max_lease_s
         )
 
     def load_image_hints(self, images_by_machine: dict[str, dict[str, float]]) -> None:
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passrock.core.jobs import Job
+from passrock.core.job import Job
 from passrock.core.model import MachineType
 from passrock.core.objectives import ServiceLevelObjectives
 
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -33,6 +33,8 @@
             as nothing could be received in that time.
 
     Attributes:
+        unresponsive_after_s: the time without a heartbeat after which a worker counts as unresponsive.
+        max_lease_s: the time since the last answer after which a worker's lease has ended by any clock.
         discovery_s: how long workers may still wait for an answer of another leader before they find this one.
     """
 
@@ -42,6 +44,7 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.lease_s = lease_s
         self.unresponsive_after_s = unresponsive_after(heartbeat_interval_s, lease_s, lease_ratio)
+        self.max_lease_s = lease_s * CLOCK_DRIFT_FACTOR + heartbeat_interval_s
         self.observing_since = observing_since
         self.discovery_s = 0.0
 
@@ -117,8 +120,4 @@
         """
         if fenced_at is None:
             return False
-        return now - max(machine.last_answer_at, fenced_at) > self.max_lease_s()
-
-    def max_lease_s(self) -> float:
-        """Seconds since the last answer after which a worker's lease has ended by any clock."""
-        return self.lease_s * CLOCK_DRIFT_FACTOR + self.heartbeat_interval_s
+        return now - max(machine.last_answer_at, fenced_at) > self.max_lease_s
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import Job, JobTable, smallest_request
+from passrock.core.job import Job, smallest_request
+from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_catalog import MachineCatalog, MachineOffering
 from passrock.core.model import ZERO_RESOURCES, JobKind, Resources, Team
@@ -58,7 +59,7 @@
     planned = planned_usage.get(team.name, ZERO_RESOURCES)
 
     def exceeds_quota(count: int) -> bool:
-        return not team.within_limit(planned + job.spec.resources.scaled(count))
+        return not team.within_quota(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
         return 0 if exceeds_quota(job.waiting) else job.waiting
