--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -58,7 +58,9 @@
 
     def _scale_out(self, queue: list[Job], gpus: ZoneGpus, now: float) -> None:
         # a gang for which preempted tasks are still stopping will get their capacity
-        lacking = [job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.stopping_for(job)]
+        lacking = [
+            job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_for(job)
+        ]
         machine_counts = plan_scale_out(
             lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
         )
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -140,7 +140,7 @@
 
     def _request(self, team: Team, unit: float) -> ReservationRequest:
         """What a team's demand asks for within its quota, in units of the largest machine."""
-        gpus = self.scheduler.demand(team.name).gpus
+        gpus = self.scheduler.quotas.demand(team.name).gpus
         if team.gpus_max > 0:
             gpus = min(gpus, team.gpus_max)
         desired = gpus / unit
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -8,12 +8,14 @@
 
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
+from passrock.controller.term_fence import TermFence
+from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_health import WORKER_WAIT_S
 from passrock.core.model import Priority
-from passrock.core.preemption import drain
+from passrock.io.peers import PeerTable
 from passrock.logs import info
 from passrock.settings import Settings
 
@@ -77,6 +79,8 @@
         job_table: tasks of failed machines are freed here as their leases expire.
         inventory: the machines.
         leadership: given up when the failure is this node's own.
+        fence: says since when no older leader can have renewed a worker's lease.
+        peers: show whether this leader alone is cut off from the workers.
         provisioner: deletes failed machines.
         on_machine_lost: called with the name of a machine that holds attempts although it was deleted.
     """
@@ -87,6 +91,8 @@
         job_table: JobTable,
         inventory: MachineInventory,
         leadership: Leadership,
+        fence: TermFence,
+        peers: PeerTable,
         provisioner: Provisioner,
         on_machine_lost: Callable[[str], None],
     ) -> None:
@@ -95,6 +101,8 @@
         self.inventory = inventory
         self.health = inventory.health
         self.leadership = leadership
+        self.fence = fence
+        self.peers = peers
         self.provisioner = provisioner
         self.on_machine_lost = on_machine_lost
         self._deleted_unresponsive_at: deque[float] = deque()  # over the last lease
@@ -102,11 +110,12 @@
     def evaluate(self, now: float) -> None:
         """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
         self.delete_with_cancelled_tasks(now)
-        self.health.discovery_s = WORKER_WAIT_S if self.leadership.peer_hangs() else 0.0
+        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s / 2)
+        self.health.discovery_s = WORKER_WAIT_S if peer_unresponsive else 0.0
         monitored = self._monitored()
         outage = self._assess_outage(monitored, now)
-        if self._is_cut_off(outage):
-            self.leadership.abdicate()
+        if self._is_cut_off(outage, now):
+            self.leadership.resign()
             return
         if not outage.is_majority:
             self._delete_unresponsive(outage, now)
@@ -169,11 +178,11 @@
             monitored=len(monitored),
         )
 
-    def _is_cut_off(self, outage: OutageAssessment) -> bool:
+    def _is_cut_off(self, outage: OutageAssessment, now: float) -> bool:
         """Whether this leader alone is cut off from the workers, which the store and the peers don't show."""
         return (
             len(outage.unresponsive) > outage.threshold
-            and self.leadership.workers_elsewhere() * CUT_OFF_WORKERS_DIVISOR > outage.monitored
+            and self.peers.redirected_workers(now) * CUT_OFF_WORKERS_DIVISOR > outage.monitored
         )
 
     def _delete_unresponsive(self, outage: OutageAssessment, now: float) -> None:
@@ -227,7 +236,7 @@
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.health.is_lease_expired(machine, now, self.leadership.fenced_at):
+        if not self.health.is_lease_expired(machine, now, self.fence.confirmed_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
@@ -248,7 +257,7 @@
         if failed_jobs < CORDON_MIN_FAILED_JOBS:
             return
         info("machine_cordoned", machine=machine.name, jobs=failed_jobs)
-        drain(self.job_table, machine.name)
+        drain_machine(self.job_table, machine.name)
         if machine.name not in self.job_table.attempts_by_machine:
             self.provisioner.deprovision(machine)
 
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -5,7 +5,7 @@
 from passrock.controller.replica import Replica
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.io.clock import monotonic_time
-from passrock.io.peers import Peers
+from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
 from passrock.settings import Settings
 
@@ -17,7 +17,7 @@
     """Judges this controller by its replica, its view of the key-value store, and its peers' views."""
 
     def __init__(
-        self, settings: Settings, state: StateClient, replica: Replica, catalog: MachineCatalog, peers: Peers
+        self, settings: Settings, state: StateClient, replica: Replica, catalog: MachineCatalog, peers: PeerTable
     ) -> None:
         self.settings = settings
         self.state = state
@@ -37,7 +37,7 @@
         now = monotonic_time()
         if not self.state.down(now, STORE_DOWN_AFTER_S):
             return True
-        answers = self.peers.answers(now - PEER_ANSWER_AGE_S)
-        if any(not heartbeat.state_down for heartbeat, _ in answers):
+        heartbeats = self.peers.heartbeats(now - PEER_ANSWER_AGE_S)
+        if any(not heartbeat.store_down for heartbeat in heartbeats):
             return False
-        return (len(answers) + 1) * 2 > self.settings.nodes
+        return (len(heartbeats) + 1) * 2 > self.settings.nodes
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -8,12 +8,13 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
 from passrock.controller.leadership import Leadership
+from passrock.controller.renewal_policy import RenewalPolicy
+from passrock.core.graceful_stop import drain_machine
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import Command, WorkerHeartbeat
-from passrock.core.preemption import drain
 from passrock.core.reconciler import Reconciler, ReconciliationResult
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
@@ -29,6 +30,7 @@
         self,
         settings: Settings,
         leadership: Leadership,
+        renewal: RenewalPolicy,
         job_table: JobTable,
         inventory: MachineInventory,
         catalog: MachineCatalog,
@@ -37,7 +39,7 @@
         evaluations: Evaluations,
     ) -> None:
         self.settings = settings
-        self.leadership = leadership
+        self.renewal = renewal
         self.job_table = job_table
         self.inventory = inventory
         self.catalog = catalog
@@ -62,7 +64,7 @@
         machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
             return None  # a late copy, or of a machine that is deleted: an answer could only renew by mistake
-        may_launch = self.leadership.may_launch()
+        may_launch = self.renewal.may_launch()
         result = self.reconciler.handle(machine, heartbeat, now, may_launch=may_launch)
         if result.changed:
             _log_changes(result, machine, now)
@@ -73,11 +75,11 @@
             return None  # its deletion may take long: unanswered, its lease ends as well
         machine.last_answer_at = now
         if machine.reclaim_at is not None:
-            drain(self.job_table, machine.name)
+            drain_machine(self.job_table, machine.name)
         if machine.acknowledged_term and not was_usable:
             self._machine_registered(machine)
         if result.changed or self._awaits_launch(machine):
-            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.count)
+            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
         return result.commands
 
     def _machine_registered(self, machine: Machine) -> None:
@@ -98,13 +100,15 @@
         deadline = monotonic_time() + self.settings.report_s * ANSWER_DELAY
         while monotonic_time() < deadline:
             attempts = self.job_table.attempts_on(machine.name)
-            if self.evaluations.count > evaluations_before and all(attempt.is_committed for attempt in attempts):
+            if self.evaluations.finished_count > evaluations_before and all(
+                attempt.is_committed for attempt in attempts
+            ):
                 break
-            if not await self.evaluations.progress(deadline - monotonic_time()):
+            if not await self.evaluations.wait_for_progress(deadline - monotonic_time()):
                 break
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
-        if self.leadership.may_launch():
+        if self.renewal.may_launch():
             commands += self.reconciler.late_launches(machine, heartbeat)
         machine.last_answer_at = monotonic_time()
         return commands
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -16,9 +16,11 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.provisioner import Provisioner
 from passrock.controller.record_loader import load_records
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
 from passrock.controller.state_events import StateEvents
-from passrock.core.cancellations import Cancellations
+from passrock.controller.term_fence import TermFence
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.machine_catalog import MachineCatalog
@@ -29,6 +31,7 @@
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
+from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
 from passrock.logs import error, info
 from passrock.settings import Settings
@@ -46,13 +49,18 @@
         state: StateClient,
         cloud: CloudClient,
         replica: Replica,
-        cancellations: Cancellations,
+        cancellations: CancellationLog,
         leadership: Leadership,
+        renewal: RenewalPolicy,
+        peers: PeerTable,
         catalog: MachineCatalog,
     ) -> None:
         self.replica = replica
         self.cancellations = cancellations
         self.leadership = leadership
+        self.renewal = renewal
+        self.peers = peers
+        self.fence = TermFence(leadership, peers, settings.nodes)
         self.catalog = catalog
         self.ready = False
         self.tasks: list[asyncio.Task[None]] = []
@@ -74,8 +82,8 @@
 
     def _build_decisions(self, settings: Settings) -> None:
         operator = settings.operator
-        keep_after = operator.begin_within_s * operator.keep_room_ratio
-        objectives = ServiceLevelObjectives(settings.objectives, keep_after)
+        starvation_threshold_s = operator.begin_within_s * operator.keep_room_ratio
+        objectives = ServiceLevelObjectives(settings.objectives, starvation_threshold_s)
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
@@ -87,7 +95,7 @@
             leadership.leader_revision,
             settings.txn_ops,
             on_finalized=self.replica.note_final,
-            on_committed=self.evaluations.progressed,
+            on_committed=self.evaluations.note_progress,
             on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(
@@ -106,7 +114,14 @@
 
     def _build_loops(self, settings: Settings) -> None:
         self.failure_detector = FailureDetector(
-            settings, self.job_table, self.inventory, self.leadership, self.provisioner, self._machine_lost
+            settings,
+            self.job_table,
+            self.inventory,
+            self.leadership,
+            self.fence,
+            self.peers,
+            self.provisioner,
+            on_machine_lost=self._machine_lost,
         )
         autoscaler = Autoscaler(
             settings, self.job_table, self.inventory, self.catalog, self.scheduler, self.preemption, self.provisioner
@@ -114,6 +129,8 @@
         self.evaluation_loop = EvaluationLoop(
             settings,
             self.leadership,
+            self.renewal,
+            self.fence,
             self.job_table,
             self.inventory,
             self.scheduler,
@@ -136,6 +153,7 @@
         self.heartbeat_handler = HeartbeatHandler(
             settings,
             self.leadership,
+            self.renewal,
             self.job_table,
             self.inventory,
             self.catalog,
@@ -155,8 +173,7 @@
         for task in self.tasks:
             task.cancel()
         self.rounds.stop()
-        if self.state_events.on_change in self.replica.listeners:
-            self.replica.listeners.remove(self.state_events.on_change)
+        self.replica.unsubscribe(self.state_events.on_change)
 
     def cancelled(self, job_id: str, at: float) -> None:
         """A cancellation is committed; before the records are loaded, loading them takes it in."""
@@ -196,7 +213,7 @@
 
     def _load(self) -> None:
         load_records(self.replica, self.cancellations, self.job_table, self.inventory, self.rounds, self.commit_queue)
-        self.replica.listeners.append(self.state_events.on_change)
+        self.replica.subscribe(self.state_events.on_change)
         self.ready = True
         info(
             "leader_term_ready",
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -8,10 +8,11 @@
 from passrock.controller import keys
 from passrock.controller.intake import IntakeGate, Refusal
 from passrock.controller.job_lookup import JobLookup, UnavailableError
-from passrock.controller.replica import READ_WAIT_S, Replica
+from passrock.controller.read_fence import READ_WAIT_S
+from passrock.controller.replica import Replica
 from passrock.controller.request_limits import limited, measured, refuse, request_limiter
 from passrock.controller.submissions import PermitLapsedError, Submitter
-from passrock.core.cancellations import Cancellations
+from passrock.core.cancellations import CancellationLog
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record
@@ -38,7 +39,7 @@
         settings: Settings,
         state: StateClient,
         replica: Replica,
-        cancellations: Cancellations,
+        cancellations: CancellationLog,
         catalog: MachineCatalog,
         gate: IntakeGate | None = None,
     ) -> None:
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -75,7 +75,7 @@
     ) -> bool:
         if offering.spot or not job.spec.allows_spot:
             return True
-        return objectives.presses(job, self.types[offering.machine_type], now)
+        return objectives.too_urgent_for_spot(job, self.types[offering.machine_type], now)
 
     def _allowed(self, job: Job) -> Iterator[MachineOffering]:
         for machine_type in self.types.values():
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -19,7 +19,7 @@
         Objective("wait", "late", 300, 0.9),
         Objective("wait", "now", 6.0, 0.9),
     ),
-    keep_after=50.0,
+    starvation_threshold_s=50.0,
 )
 TERM = 5
 
@@ -51,10 +51,10 @@
 class SchedulerHarness:
     """A job table, an inventory and a scheduler, without a controller."""
 
-    def __init__(self, machines=(("m1", "a", False),), page=50):
+    def __init__(self, machines=(("m1", "a", False),), page=50, teams=TEAMS):
         self.job_table = JobTable(page)
         self.inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), TERM)
-        self.scheduler = Scheduler(self.job_table, self.inventory, TEAMS, {}, OBJECTIVES)
+        self.scheduler = Scheduler(self.job_table, self.inventory, teams, {}, OBJECTIVES)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
         for name, zone, spot in machines:
@@ -75,7 +75,7 @@
         self.job_table.uncommitted.clear()
 
     def refresh(self, now):
-        """Every machine has just sent a heartbeat, and nothing runs there."""
+        """Every machine has just reported, and nothing runs there."""
         for machine in self.inventory.machines.values():
             machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
 
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -3,9 +3,9 @@
 import pytest
 
 from builders import BOX, TERM, SchedulerHarness, heartbeat, task_status
+from passrock.core.graceful_stop import stop_gracefully
 from passrock.core.messages import CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, Resources
-from passrock.core.preemption import stop_softly
 from passrock.core.reconciler import Reconciler
 
 
@@ -269,7 +269,7 @@
         ]
 
     handle(harness, reconciler, sequence=3, tasks=running)
-    stop_softly(attempt, 6.0)
+    stop_gracefully(attempt, 6.0)
     assert stops(4, running) == [(CommandKind.STOP, 6.0)]
     assert stops(5, saving) == []  # a second stop would end the saving
     harness.job_table.cancel(job, 0.0)
