--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from passrock.controller import keys
-from passrock.core.scaling import MachineCatalog
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient, CloudError
 from passrock.io.state import StateClient, StateError
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from passrock.controller.replica import Replica
-from passrock.core.scaling import MachineCatalog
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -19,9 +19,9 @@
 from passrock.controller.request_router import RequestRouter
 from passrock.controller.user_api import UserApi
 from passrock.controller.worker_redirects import WorkerRedirects
-from passrock.core.budget import rate_share
 from passrock.core.cancellations import CancellationLog
-from passrock.core.scaling import MachineCatalog
+from passrock.core.machine_catalog import MachineCatalog
+from passrock.core.token_bucket import rate_share
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request, Response
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -8,7 +8,7 @@
 
 from passrock import __version__
 from passrock.controller.node import STATE_CONNECTIONS, Node
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer
@@ -30,12 +30,12 @@
     state = StateClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
-        Budget(settings.state_rps, settings.state_rps),
-        Budget(settings.state_write_rps, settings.state_write_rps),
+        TokenBucket(settings.state_rps, settings.state_rps),
+        TokenBucket(settings.state_write_rps, settings.state_write_rps),
     )
     cloud = CloudClient(
         HttpClient(settings.cloud, CLOUD_CONNECTIONS),
-        Budget(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
+        TokenBucket(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
     )
     return Node(settings, state, cloud, [PeerLink(peer) for peer in settings.peers], rng)
 
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from passrock.controller.leadership import Leadership
-from passrock.core.inventory import DRIFT
+from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
 
@@ -31,4 +31,4 @@
         term = self.leadership.term
         votes = 1 + sum(1 for heartbeat in self.peers.heartbeats() if heartbeat.term >= term)
         if votes * 2 > self.nodes:
-            self.confirmed_at = monotonic_time() + self.peers.support_s * DRIFT
+            self.confirmed_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_FACTOR
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -13,9 +13,9 @@
 from passrock.controller.request_limits import limited, measured, refuse, request_limiter
 from passrock.controller.submissions import PermitLapsedError, Submitter
 from passrock.core.cancellations import CancellationLog
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, Permit, fits_record
-from passrock.core.scaling import MachineCatalog
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.http_server import Request, Response
@@ -102,7 +102,7 @@
         is_known = self.lookup.is_known(spec.id)
         if reason is not None and not is_known:
             return Response(422, wire.error_answer(reason))
-        if self.state.writes.wait(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
+        if self.state.writes.time_until_available(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
             return refuse(self.write_limiter, 429)
         if self.gate is None or is_known:
             return limited(self.write_limiter, self._submit(spec, None))
@@ -124,7 +124,10 @@
         refused = Response(
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
-        if self.state.requests.spare(monotonic_time()) < RETRY_LOOKUP_SPARE or not self.read_limiter.enter():
+        if (
+            self.state.requests.available_fraction(monotonic_time()) < RETRY_LOOKUP_SPARE
+            or not self.read_limiter.try_acquire()
+        ):
             return refused
         return measured(self.read_limiter, self._state_or(spec.id, refused))
 
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -5,8 +5,8 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
-from passrock.core.inventory import silence_limit
 from passrock.core.lost_workers import LostWorkers
+from passrock.core.machine_health import unresponsive_after
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
 from passrock.io.state import StateClient
@@ -27,7 +27,7 @@
         self.lost_workers = LostWorkers(
             settings.report_s,
             settings.lease_s,
-            silence_limit(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
+            unresponsive_after(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
         )
 
     def target(self, machine: str, token: int) -> str | None:
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.job import Job, smallest_request
+from passrock.core.machine import Machine
 from passrock.core.model import JobSpec, MachineType, Resources
 from passrock.core.objectives import image_fetch_time
 
@@ -34,7 +35,7 @@
         self.zones = {}
         self.machine_types = {}
         for machine in self.inventory.machines.values():
-            if self.inventory.usable(machine, now):
+            if self.inventory.health.is_schedulable(machine, now):
                 self.schedulable.append(machine)
                 self.zones[machine.zone] = None
                 self.machine_types[machine.type.name] = machine.type
@@ -42,13 +43,13 @@
     def narrow_to(self, waiting: list[Job]) -> None:
         """Leave machines on which not even the smallest waiting task fits out of ``with_capacity``."""
         least = smallest_request(waiting)
-        self.with_capacity = [machine for machine in self.schedulable if machine.has_room(least)]
+        self.with_capacity = [machine for machine in self.schedulable if machine.has_capacity_for(least)]
 
     def on(self, machine: Machine) -> Resources:
         """The resources that are free on the machine."""
         free = self._free.get(machine.name)
         if free is None:
-            free = self._free[machine.name] = machine.room
+            free = self._free[machine.name] = machine.free_capacity
         return free
 
     def allocate(self, machine: Machine, resources: Resources) -> None:
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple
 
 from passrock.core.free_capacity import FreeCapacity
-from passrock.core.inventory import Machine
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
 from passrock.core.machine_holds import MachineHolds
 from passrock.core.machine_scoring import MachineScorer
 from passrock.core.model import JobSpec, Resources
@@ -96,7 +96,7 @@
         heap = self.scorer.candidate_heap(job, zone, now)
         while heap and len(machines) < spec.tasks:
             cost, _, machine = heappop(heap)
-            longest_fetch = max(longest_fetch, machine.fetch_wait(spec))
+            longest_fetch = max(longest_fetch, machine.image_fetch_time(spec))
             total_cost += cost
             self.capacity.allocate(machine, spec.resources)
             machines.append(machine)
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -4,8 +4,8 @@
 
 from collections.abc import ValuesView
 
-from passrock.core.inventory import Machine
 from passrock.core.job import Job, TaskAttempt, TaskKey, TaskPage
+from passrock.core.machine import Machine
 from passrock.core.model import ZERO_RESOURCES, JobKind, Resources
 from passrock.core.records import JobRecord, TaskPageRecord
 
--- a/src/passrock/core/machine_holds.py
+++ b/src/passrock/core/machine_holds.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine
 from passrock.core.job import Job
+from passrock.core.machine import Machine
 
 
 class MachineHold(msgspec.Struct, frozen=True):
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -87,14 +87,14 @@
         seconds_left = latest_start - now - self._stop_duration(plan)
         if plan.image_fetch_s(job.spec) > seconds_left:
             plan = self.planner.plan(job, now, max_image_fetch_s=seconds_left)
-        if plan.image_fetch_s(job.spec) + self.inventory.lease_s < seconds_left:
+        if plan.image_fetch_s(job.spec) + self.inventory.health.lease_s < seconds_left:
             return PreemptionPlan()  # capacity may still come free by itself
         return plan
 
     def _planning_horizon(self, job: Job) -> float:
         """Seconds before its latest start from which the job may need a plan."""
         return (
-            self.inventory.lease_s
+            self.inventory.health.lease_s
             + PLANNING_STOP_LATENCIES * self.stop_latency_s
             + PLANNING_IMAGE_FETCHES * self.scheduler.capacity.longest_image_fetch(job.spec)
         )
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine
 from passrock.core.job import Job, TaskAttempt
+from passrock.core.machine import Machine
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, JobSpec
 from passrock.core.objectives import image_fetch_time
@@ -50,7 +50,7 @@
 
     def image_fetch_s(self, spec: JobSpec) -> float:
         """The longest wait for the job's image on the plan's machines."""
-        return max((entry.machine.fetch_wait(spec) for entry in self.entries), default=0.0)
+        return max((entry.machine.image_fetch_time(spec) for entry in self.entries), default=0.0)
 
     def longest_save_s(self) -> float:
         """The longest time that a victim takes to save its checkpoint."""
@@ -122,7 +122,7 @@
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
-            fetch_wait_s = machine.fetch_wait(spec)
+            fetch_wait_s = machine.image_fetch_time(spec)
             if fetch_wait_s > max_image_fetch_s:
                 continue
             choice = self._choose_victims(job, machine, now, elastic_only=elastic_only)
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -45,7 +45,7 @@
         self.teams = teams
         self.assignments = assignments
         self.objectives = objectives
-        self.stop_latency_s = inventory.report_s * STOP_LATENCY_HEARTBEATS
+        self.stop_latency_s = inventory.health.heartbeat_interval_s * STOP_LATENCY_HEARTBEATS
         self.waiting: list[Job] = []
         self.overrides = DispatchOverrides()
         self.capacity = FreeCapacity(inventory)
--- a/src/passrock/core/task_exits.py
+++ b/src/passrock/core/task_exits.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
 from passrock.core.messages import ExitReason
 
 FAILURE_BACKOFF_S = 2.0  # doubled with each failure
@@ -23,7 +24,7 @@
 ) -> None:
     """Enter the exit of a recorded attempt; unless it has completed, its task waits again."""
     job = attempt.job
-    retry_refused_at = now + inventory.report_s * REFUSAL_BACKOFF_HEARTBEATS
+    retry_refused_at = now + inventory.health.heartbeat_interval_s * REFUSAL_BACKOFF_HEARTBEATS
     match reason:
         case ExitReason.COMPLETED:
             machine.failed_jobs.pop(job.spec.id, None)
@@ -33,7 +34,7 @@
         case ExitReason.FAILED:
             _record_failure(job, machine, inventory, now)
         case ExitReason.INSUFFICIENT_CAPACITY | ExitReason.ATTEMPT_IN_USE:
-            machine.blocked_until = retry_refused_at
+            machine.quarantined_until = retry_refused_at
         case ExitReason.JOB_UNKNOWN:
             job.retry_not_before = retry_refused_at
     job_table.attempt_lost(attempt, now)
@@ -45,7 +46,7 @@
     A suspect job doesn't block machines: one faulty array once blocked every machine that it tried.
     """
     if not job.is_suspect:
-        machine.blocked_until = max(machine.blocked_until, now + inventory.lease_s)
+        machine.quarantined_until = max(machine.quarantined_until, now + inventory.health.lease_s)
     machine.failed_jobs[job.spec.id] = now
     job.avoided_machines.add(machine.name)
     job.consecutive_failures += 1
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -2,6 +2,7 @@
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
+from passrock.core.machine_health import MachineHealth
 from passrock.core.messages import ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import ZERO_RESOURCES, JobKind, JobSpec, MachineType, Priority, Resources, Team
 from passrock.core.objectives import Objective, ServiceLevelObjectives
@@ -52,7 +53,7 @@
 
     def __init__(self, machines=(("m1", "a", False),), page=50, teams=TEAMS):
         self.job_table = JobTable(page)
-        self.inventory = MachineInventory(1.0, 10.0, 0.36, 0.0, TERM)
+        self.inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), TERM)
         self.scheduler = Scheduler(self.job_table, self.inventory, teams, {}, OBJECTIVES)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
@@ -76,7 +77,7 @@
     def refresh(self, now):
         """Every machine has just reported, and nothing runs there."""
         for machine in self.inventory.machines.values():
-            machine.heard, machine.used = now, ZERO_RESOURCES
+            machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
 
     def run(self, now=0.0):
         return [(attempt.job.spec.id, attempt.index, attempt.machine) for attempt in self.scheduler.run(now)]
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -52,10 +52,11 @@
 from passrock.controller.replica import Replica
 from passrock.controller.submissions import Submitter
 from passrock.controller.worker_redirects import WorkerRedirects
-from passrock.core.budget import Budget
 from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
+from passrock.core.machine_catalog import MachineCatalog, MachineOffering
+from passrock.core.machine_health import MachineHealth
 from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 from passrock.core.records import (
@@ -66,7 +67,7 @@
     encode_record,
     new_job_record,
 )
-from passrock.core.scaling import MachineCatalog, Offer
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.clock import monotonic_time, use_wall_clock
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request
@@ -433,11 +434,11 @@
 
 
 def state_client(http):
-    return StateClient(http, http, Budget(1e4, 1e4), Budget(1e4, 1e4))
+    return StateClient(http, http, TokenBucket(1e4, 1e4), TokenBucket(1e4, 1e4))
 
 
 def cloud_client(http):
-    return CloudClient(http, Budget(1e4, 1e4))
+    return CloudClient(http, TokenBucket(1e4, 1e4))
 
 
 def make_settings(admission=None):
@@ -577,15 +578,25 @@
     await asyncio.sleep(10.0)
 
 
+def make_provisioner(client, http, leadership):
+    return Provisioner(
+        make_settings(),
+        client,
+        cloud_client(http),
+        MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor"))),
+        MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), leadership.term),
+        leadership,
+        on_machine_lost=lambda name: None,
+        on_change=lambda: None,
+    )
+
+
 async def rent_machines(http):
     """A rental: written ahead, asked for, and settled."""
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 41), leadership
-    )
-    provisioner.rent(Offer("g8", "zb", True), 17)
+    provisioner = make_provisioner(client, http, leadership)
+    provisioner.provision(MachineOffering("g8", "zb", spot=True), 17)
     await asyncio.sleep(10.0)
 
 
@@ -593,11 +604,8 @@
     """A new leader repeats what an earlier one may have left unanswered."""
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client), term=42, stamp=197)
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 42), leadership
-    )
-    provisioner.resume([entry for entry in golden_entries("rental") if entry.key.startswith("p/q/")])
+    provisioner = make_provisioner(client, http, leadership)
+    provisioner.resume_requests([entry for entry in golden_entries("rental") if entry.key.startswith("p/q/")])
     await asyncio.sleep(10.0)
 
 
@@ -606,11 +614,8 @@
     http.listed = [golden("cloud/machines_last_page.cbor"), golden("cloud/machines_mute.cbor")]
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 41), leadership
-    )
-    work = [asyncio.ensure_future(loop) for loop in (provisioner.list_machines(), provisioner.deletions())]
+    provisioner = make_provisioner(client, http, leadership)
+    work = [asyncio.ensure_future(loop) for loop in (provisioner.poll_machine_list(), provisioner.run_deletions())]
     await asyncio.sleep(60.0)
     for task in work:
         task.cancel()
@@ -724,7 +729,7 @@
         stray = state.Entry("p/t/wk-4079/1", {}, 3)
         harness, rounds, queue = loaded([*golden_entries("attempts", "withdrawal", "binding_round"), stray])
         (job,) = harness.job_table.jobs.values()
-        return [job_values(job), plain(rounds.assignments), plain(harness.inventory.hints), queue.orphaned_keys]
+        return [job_values(job), plain(rounds.assignments), plain(harness.inventory.image_hints), queue.orphaned_keys]
 
     assert text(virtual_time.run(main())) == text(positional(spelt("records/loaded")))
 
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -185,10 +185,12 @@
             token=token,
             tasks=[task_status()] if is_listed else [],
         )
-        harness.inventory.machines["m1"].answered = float(step)
+        harness.inventory.machines["m1"].last_answer_at = float(step)
         harness.run(float(step))
         harness.commit()
-    assert harness.inventory.usable(harness.inventory.machines["m1"], float(len(heartbeats))) is is_usable
+    assert (
+        harness.inventory.health.is_schedulable(harness.inventory.machines["m1"], float(len(heartbeats))) is is_usable
+    )
 
 
 @pytest.mark.parametrize(
@@ -206,8 +208,8 @@
 def test_lease_evidence(answered, fenced, now, up, is_expired):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    machine.answered, machine.up = answered, up
-    assert harness.inventory.lease_expired(machine, now, fenced) is is_expired
+    machine.last_answer_at, machine.heartbeat_received = answered, up
+    assert harness.inventory.health.is_lease_expired(machine, now, fenced) is is_expired
 
 
 def test_a_job_that_fails_on_several_machines_is_retried_later():
@@ -224,7 +226,7 @@
         failed = [exited(ExitReason.FAILED, attempt_number=attempt.number)]
         handle(harness, reconciler, now, machine=attempt.machine, sequence=sequence + 1, tasks=failed)
     assert job.avoided_machines == {"m1", "m2"} and job.retry_not_before > 4.0
-    assert all(machine.blocked_until > 4.0 for machine in harness.inventory.machines.values())
+    assert all(machine.quarantined_until > 4.0 for machine in harness.inventory.machines.values())
 
 
 def fail_on(harness, reconciler, job, machine, now):
@@ -244,9 +246,9 @@
     for now, machine in enumerate(("m1", "m2")):
         fail_on(harness, reconciler, first, machine, float(now))
     assert first.is_suspect and first.retry_not_before > 1.0  # it is tried again, later
-    blocked = harness.inventory.machines["m3"].blocked_until
+    blocked = harness.inventory.machines["m3"].quarantined_until
     fail_on(harness, reconciler, first, "m3", 2.0)
-    assert harness.inventory.machines["m3"].blocked_until == blocked  # and blocks nothing any more
+    assert harness.inventory.machines["m3"].quarantined_until == blocked  # and blocks nothing any more
     for now, machine in enumerate(("m2", "m1"), start=3):
         fail_on(harness, reconciler, second, machine, float(now))
     m1 = harness.inventory.machines["m1"]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -6,6 +6,7 @@
 import pytest
 
 from passrock.core.inventory import MachineInventory
+from passrock.core.machine_health import MachineHealth
 from passrock.core.reconciler import Reconciler
 from passrock.io.http_server import Request, Response
 from standins import virtual_time
@@ -74,7 +75,7 @@
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
     """A scheduler that takes silence for loss starts tasks twice, and the checker says so."""
     monkeypatch.setattr(
-        MachineInventory, "lease_expired", lambda self, machine, now, fenced: now - machine.heard > 2.0
+        MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
     )
     rules = {rule for seed in range(50, 56) for _, rule, _ in play(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
@@ -84,9 +85,13 @@
     """A leader that counts a lease from what the machine showed, not from what it was answered."""
 
     def shown(self, machine, now, fenced):
-        return fenced is not None and machine.up and now - max(machine.up_since, fenced) > self.lease_s
+        return (
+            fenced is not None
+            and machine.heartbeat_received
+            and now - max(machine.first_heartbeat_at, fenced) > self.lease_s
+        )
 
-    monkeypatch.setattr(MachineInventory, "lease_expired", shown)
+    monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
     days = (play(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
@@ -173,7 +178,7 @@
         await asyncio.sleep(5.0)
         node = cluster.nodes["n0"].node
         for limiter in (node.user_api.read_limiter, node.user_api.write_limiter):
-            limiter.busy = int(limiter.limit)
+            limiter.in_progress = int(limiter.limit)
         good = cluster.job(1)
         cases = [
             ("POST", "/v2/runs", b"junk"),
