--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -29,7 +29,7 @@
 from passrock.core.model import JobSpec
 from passrock.core.records import GRANT_REFERENCE, AdmissionToken
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.io.peers import Peers
+from passrock.io.peers import PeerTable
 from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
@@ -54,7 +54,7 @@
         state: KeyValueStoreClient,
         replica: Replica,
         leadership: Leadership,
-        peers: Peers,
+        peers: PeerTable,
         rng: random.Random,
     ) -> None:
         self.name = NAME
@@ -71,12 +71,13 @@
             admission.class_weights,
             admission.interactive_ratio,
         )
-        self.incarnation = leadership.run_id
+        self.incarnation = leadership.incarnation
         self.grants = GrantLedger(settings.node, self.incarnation)
         self.store = AllocationStore(lambda: replica.entries, on_allocation=self.grants.add)
         self.admitter = SubmissionAdmitter(self.clock, self.grants, self.store, self.weights, rng)
         self.admitted = AdmittedJobs()
         self.demand = DemandTable(DEMAND_KEPT_SLOTS * self.clock.length_s)
+        self.dispatch: Dispatch | None = None  # of the latest term that this node led
         self._deciding: asyncio.Task[None] | None = None
         self._started_ms = int(time_of_day() * 1000)
         self._report: DemandReport | None = None
@@ -84,7 +85,7 @@
         self._message = b""
         self._reports = 0
         self._malformed_logged_at = -math.inf
-        replica.listeners.append(self._changed)
+        replica.subscribe(self._changed)
         self.log = self._open_log()
 
     def _open_log(self) -> DecisionLog | None:
@@ -124,8 +125,8 @@
         """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
         if self.leadership.leading:
             return True
-        answers = self.peers.answers(monotonic_time() - self.leadership.ttl)
-        leading = [heartbeat for heartbeat, _ in answers if heartbeat.leading]
+        heartbeats = self.peers.heartbeats(monotonic_time() - self.leadership.lease_ttl_s)
+        leading = [heartbeat for heartbeat in heartbeats if heartbeat.leading]
         if not leading:
             return True
         return max(leading, key=lambda heartbeat: heartbeat.term).extension(NAME) is not None
@@ -179,9 +180,10 @@
             self.store,
             outcomes,
             self.report,
-            term.commit_queue.delay,
+            term.commit_queue.estimated_delay_s,
         )
-        term.on_evaluated = dispatch.evaluated
+        term.evaluation_loop.subscribe(dispatch.evaluated)
+        self.dispatch = dispatch
         self._deciding = asyncio.ensure_future(self._decide(term, allocator))
 
     def _keep_decision(self, decision: Decision) -> None:
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from passrock.core.budget import Budget
 from passrock.core.messages import ListedMachine
 from passrock.core.model import MachineType
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import CloudError, NoAnswerError, NoCapacityError
 from passrock.io.http_client import HttpClient
@@ -27,7 +27,7 @@
 class CloudClient:
     """The cloud's calls, inside their rate. All raise CloudError."""
 
-    def __init__(self, http: HttpClient, budget: Budget) -> None:
+    def __init__(self, http: HttpClient, budget: TokenBucket) -> None:
         self.http = http
         self.budget = budget
 
@@ -62,7 +62,7 @@
         return rows
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> bytes:
-        wait = self.budget.take(monotonic_time(), 1)
+        wait = self.budget.reserve(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
@@ -71,7 +71,7 @@
             raise CloudError(str(error)) from error
         call = f"{method} {path}"
         if status == TOO_MANY_REQUESTS:
-            self.budget.refused(monotonic_time())
+            self.budget.record_rejection(monotonic_time())
         if status == UNAVAILABLE and b"capacity" in answer:
             raise NoCapacityError("no capacity", call=call)
         if status != OK:
--- a/src/passrock/io/state.py
+++ b/src/passrock/io/state.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import (
     CompactedError,
@@ -59,7 +59,7 @@
     Each call waits for its place in the rates first. All raise StoreError, or the kind of it that they name.
     """
 
-    def __init__(self, http: HttpClient, watch_http: HttpClient, requests: Budget, writes: Budget) -> None:
+    def __init__(self, http: HttpClient, watch_http: HttpClient, requests: TokenBucket, writes: TokenBucket) -> None:
         self.http = http
         self.watch_http = watch_http  # connections of its own: a watch holds one for long
         self.requests = requests
@@ -156,7 +156,7 @@
             self._note_unavailable(sent_at)
             raise UnknownOutcomeError(str(error)) from error
         if status == TOO_MANY_REQUESTS:
-            self.requests.refused(monotonic_time())
+            self.requests.record_rejection(monotonic_time())
             raise RateLimitedError("over the rate", call=call)
         if status >= FIRST_SERVER_ERROR:
             self._note_unavailable(sent_at)
@@ -166,9 +166,9 @@
         return status, answer
 
     async def _wait_for_rate(self, changes: int) -> None:
-        wait = self.requests.take(monotonic_time(), 1)
+        wait = self.requests.reserve(monotonic_time(), 1)
         if changes:
-            wait = max(wait, self.writes.take(monotonic_time(), changes))
+            wait = max(wait, self.writes.reserve(monotonic_time(), changes))
         if wait > 0:
             await asyncio.sleep(wait)
 
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -7,10 +7,11 @@
 import msgspec
 
 from passrock.controller.node import Node
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.errors import NoAnswerError
 from passrock.io.http_server import Response
+from passrock.io.peer_link import PeerAnswer
 from passrock.io.state import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
@@ -68,9 +69,11 @@
     def __init__(self, cluster, node, peer):
         self.cluster, self.node, self.peer = cluster, node, peer
         self.answer = None
-        self.asked_at = -1e9
         self.waiting_since = None
-        self.heard = lambda heartbeat, asked_at: None
+        self.listeners = []
+
+    def subscribe(self, listener):
+        self.listeners.append(listener)
 
     async def ask(self, heartbeat, timeout):
         other = self.cluster.nodes.get(self.peer)
@@ -83,10 +86,10 @@
         while other.frozen_until > self.cluster.now():
             await asyncio.sleep(other.frozen_until - self.cluster.now())
         if other.alive and other is self.cluster.nodes.get(self.peer):
-            self.answer = other.node.peers.reply(heartbeat)
-            self.asked_at = sent
+            self.answer = PeerAnswer(other.node.peers.reply(heartbeat), sent)
             self.waiting_since = None
-            self.heard(self.answer, sent)
+            for listener in self.listeners:
+                listener(self.answer)
 
 
 class SimulatedController:
@@ -112,10 +115,10 @@
         state = KeyValueStoreClient(
             ServiceLink(cluster, self, cluster.state, True),
             ServiceLink(cluster, self, cluster.state, True),
-            Budget(100.0, 100.0),
-            Budget(40.0, 40.0),
+            TokenBucket(100.0, 100.0),
+            TokenBucket(40.0, 40.0),
         )
-        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), Budget(5.0, 6.0))
+        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, state, cloud, links, rng)
         self.work = self.context.run(asyncio.ensure_future, self.node.work())
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -15,7 +15,7 @@
 from passrock.controller import keys
 from passrock.core.records import GRANT_REFERENCE
 from passrock.io.errors import UnknownOutcomeError
-from passrock.io.peers import frame
+from passrock.io.peer_messages import frame
 from standins import virtual_time
 from standins.admission_load import ADMISSION, SLOT_S, Flood, flood_world, submit
 
@@ -221,7 +221,7 @@
     assert virtual_time.run(main()) == ([True] * 3, [200] * 3, True)
 
 
-def test_a_permit_that_lapses_on_its_way_accepts_nothing():
+def test_an_admission_token_that_expires_on_its_way_accepts_nothing():
     """A submission that is held up until its slot's record is deleted: the user comes back and is served."""
 
     async def main():
@@ -285,7 +285,7 @@
         await submit(cluster, checker, spec)
         node = cluster.nodes["n0"].node
         records = [entry for entry, *_ in cluster.state.data.values()]
-        return checker, node.peers._view(), records
+        return checker, node.peers.heartbeat(), records
 
     checker, view, records = virtual_time.run(main())
     assert checker.pages == {} and checker.unmarked == 1
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -48,20 +48,32 @@
 from passrock.controller.node import Node
 from passrock.controller.provisioner import Provisioner
 from passrock.controller.record_loader import load_records
+from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.controller.replica import Replica
 from passrock.controller.submissions import Submitter
-from passrock.core.budget import Budget
-from passrock.core.cancellations import Cancellations
+from passrock.controller.worker_redirects import WorkerRedirects
+from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
-from passrock.core.jobs import JobTable, new_record
-from passrock.core.messages import Command, Op, TaskState
+from passrock.core.job_table import JobTable
+from passrock.core.machine_catalog import MachineCatalog, MachineOffering
+from passrock.core.machine_health import MachineHealth
+from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
-from passrock.core.records import AdmissionToken, decode_spec
-from passrock.core.scaling import MachineCatalog, Offer
-from passrock.io.clock import use_wall_clock
+from passrock.core.records import (
+    AdmissionToken,
+    JobRecord,
+    UnreadableRecordError,
+    decode_record,
+    encode_record,
+    new_job_record,
+)
+from passrock.core.token_bucket import TokenBucket
+from passrock.io.clock import monotonic_time, use_wall_clock
 from passrock.io.cloud import CloudClient
 from passrock.io.http_server import Request
-from passrock.io.peers import PeerConnection, PeerHeartbeat, Peers, frame
+from passrock.io.peer_link import PeerAnswer, PeerConnection
+from passrock.io.peer_messages import PeerHeartbeat, frame
+from passrock.io.peers import PeerExchange, PeerTable
 from passrock.io.state import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from passrock.wire import cloud, state, users, workers
@@ -122,8 +134,15 @@
     TaskState.RUNNING: "running",
     TaskState.SAVING: "saving",
     TaskState.EXITED: "exited",
+    ExitReason.COMPLETED: "done",
+    ExitReason.GANG_MEMBER_LOST: "peers",
+    ExitReason.GANG_INCOMPLETE: "alone",
+    ExitReason.FAILED: "error",
+    ExitReason.INSUFFICIENT_CAPACITY: "no_room",
+    ExitReason.ATTEMPT_IN_USE: "busy",
+    ExitReason.JOB_UNKNOWN: "unknown",
 }
-OPS = {"start": Op.START, "stop": Op.STOP, "forget": Op.FORGET}
+COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.FORGET}
 
 
 def flows(pairs, make=lambda value: value):
@@ -139,14 +158,14 @@
 
 def encode_job(values):
     spec, submitted, mark = values.values()
-    return msgspec.json.encode(new_record(make_spec(spec), submitted, mark))
+    return msgspec.json.encode(encode_record(new_job_record(make_spec(spec), submitted, mark)))
 
 
 def decode_job(data):
-    record = msgspec.json.decode(data)
+    record = decode_record(msgspec.json.decode(data), JobRecord)
     job = JobTable(50).load(record, 7, 100.0, 20.0)
-    assert plain(decode_spec(record["s"])) == plain(job.spec)
-    return [plain(job.spec), job.submitted, record.get("ad")]
+    assert plain(record.spec.to_spec()) == plain(job.spec)
+    return [plain(job.spec), job.submitted_at, plain(record.grant_reference)]
 
 
 def make_heartbeat(values):
@@ -211,8 +230,8 @@
 
 
 def make_command(values):
-    op, *fields = values.values()
-    return Command(OPS[op], *fields)
+    kind, *fields = values.values()
+    return Command(COMMAND_KINDS[kind], *fields)
 
 
 def make_write(values):
@@ -417,11 +436,11 @@
 
 
 def state_client(http):
-    return KeyValueStoreClient(http, http, Budget(1e4, 1e4), Budget(1e4, 1e4))
+    return KeyValueStoreClient(http, http, TokenBucket(1e4, 1e4), TokenBucket(1e4, 1e4))
 
 
 def cloud_client(http):
-    return CloudClient(http, Budget(1e4, 1e4))
+    return CloudClient(http, TokenBucket(1e4, 1e4))
 
 
 def make_settings(admission=None):
@@ -451,11 +470,17 @@
 
 def make_leadership(client, replica, term=41, stamp=97):
     """A leadership that has just been taken."""
-    leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
+    leadership = Leadership(make_settings(), client, replica, random.Random(5))
     leadership.leading, leadership.term, leadership.leader_revision = True, term, stamp
     return leadership
 
 
+def make_redirects(client, replica):
+    settings = make_settings()
+    leadership = Leadership(settings, client, replica, random.Random(5))
+    return WorkerRedirects(settings, leadership, client, replica, PeerTable([], settings.report_s))
+
+
 def make_rounds(client, harness):
     leadership = make_leadership(client, make_replica(client))
     catalog = MachineCatalog({"box": BOX})
@@ -474,7 +499,9 @@
     """A job of two records with attempts and completed tasks in both."""
     harness = SchedulerHarness((), page=4)
     machine = harness.inventory.observe(worker_heartbeat("host-31", incarnation=6, sequence=2), BOX, 0.0)
-    job = harness.job_table.load(msgspec.json.decode(golden("records/job_array.record")), 98, 100.0, 20.0)
+    job = harness.job_table.load(
+        decode_record(msgspec.json.decode(golden("records/job_array.record")), JobRecord), 98, 100.0, 20.0
+    )
     for index, attempt_number in ((1, 21), (4, 23), (2, 22), (5, 24), (3, 25)):
         harness.job_table.start(job, index, machine, attempt_number, 0.0)
     for attempt in [attempt for attempt in job.attempts() if attempt.index in (1, 3, 4)]:
@@ -501,7 +528,9 @@
     for attempt in list(job.attempts()):
         harness.job_table.attempt_completed(attempt)
     job.page(4).mod_revision = 99
-    other = harness.job_table.load(msgspec.json.decode(golden("records/job_gang.record")), 96, 100.0, 20.0)
+    other = harness.job_table.load(
+        decode_record(msgspec.json.decode(golden("records/job_gang.record")), JobRecord), 96, 100.0, 20.0
+    )
     harness.job_table.cancel(other, 50.0)
     queue = commit_queue(state_client(http), harness.job_table)
     assert await queue.commit(queue.build(12)) and await queue.commit(queue.build(12))
@@ -551,15 +580,25 @@
     await asyncio.sleep(10.0)
 
 
+def make_provisioner(client, http, leadership):
+    return Provisioner(
+        make_settings(),
+        client,
+        cloud_client(http),
+        MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor"))),
+        MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), leadership.term),
+        leadership,
+        on_machine_lost=lambda name: None,
+        on_change=lambda: None,
+    )
+
+
 async def rent_machines(http):
     """A rental: written ahead, asked for, and settled."""
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 41), leadership
-    )
-    provisioner.rent(Offer("g8", "zb", True), 17)
+    provisioner = make_provisioner(client, http, leadership)
+    provisioner.provision(MachineOffering("g8", "zb", spot=True), 17)
     await asyncio.sleep(10.0)
 
 
@@ -567,11 +606,8 @@
     """A new leader repeats what an earlier one may have left unanswered."""
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client), term=42, stamp=197)
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 42), leadership
-    )
-    provisioner.resume([entry for entry in golden_entries("rental") if entry.key.startswith("p/q/")])
+    provisioner = make_provisioner(client, http, leadership)
+    provisioner.resume_requests([entry for entry in golden_entries("rental") if entry.key.startswith("p/q/")])
     await asyncio.sleep(10.0)
 
 
@@ -580,11 +616,8 @@
     http.listed = [golden("cloud/machines_last_page.cbor"), golden("cloud/machines_mute.cbor")]
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
-    catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
-    provisioner = Provisioner(
-        make_settings(), client, cloud_client(http), catalog, MachineInventory(1.0, 10.0, 0.36, 0.0, 41), leadership
-    )
-    work = [asyncio.ensure_future(loop) for loop in (provisioner.list_machines(), provisioner.deletions())]
+    provisioner = make_provisioner(client, http, leadership)
+    work = [asyncio.ensure_future(loop) for loop in (provisioner.poll_machine_list(), provisioner.run_deletions())]
     await asyncio.sleep(60.0)
     for task in work:
         task.cancel()
@@ -594,9 +627,7 @@
     """A node takes its own former key over, with the next term."""
     client = state_client(http)
     former = [state.Entry("p/lead", {"node": "n1", "term": 40}, 95), state.Entry("p/term", 40, 94)]
-    leadership = Leadership(
-        make_settings(), client, make_replica(client, former), Cancellations(1e6), random.Random(5)
-    )
+    leadership = Leadership(make_settings(), client, make_replica(client, former), random.Random(5))
     work = asyncio.ensure_future(leadership.run())
     while not leadership.leading:
         await asyncio.sleep(0.1)
@@ -665,7 +696,7 @@
     client = state_client(RecordingHttp())
     rounds, queue = make_rounds(client, harness), commit_queue(client, harness.job_table)
     load_records(
-        make_replica(client, entries), Cancellations(1e6), harness.job_table, harness.inventory, rounds, queue
+        make_replica(client, entries), CancellationLog(1e6), harness.job_table, harness.inventory, rounds, queue
     )
     return harness, rounds, queue
 
@@ -673,7 +704,7 @@
 def job_values(job):
     """What the books hold of a job."""
     pages = [
-        [number, one.first, one.attempt_number, one.done, one.mod_revision]
+        [number, one.first, one.attempt_number, one.completed, one.mod_revision]
         for number, one in sorted(job.pages.items())
     ]
     attempts = [
@@ -681,7 +712,16 @@
         for attempt in job.attempts()
     ]
     at = job.cancelled_at if math.isfinite(job.cancelled_at) else None
-    return [plain(job.spec), job.submitted, job.order, job.done_count, job.cancelled, at, pages, attempts]
+    return [
+        plain(job.spec),
+        job.submitted_at,
+        job.submitted_at_monotonic,
+        job.done_count,
+        job.cancelled,
+        at,
+        pages,
+        attempts,
+    ]
 
 
 def test_a_new_leader_reads_the_golden_records(wall_clock):
@@ -691,7 +731,7 @@
         stray = state.Entry("p/t/wk-4079/1", {}, 3)
         harness, rounds, queue = loaded([*golden_entries("attempts", "withdrawal", "binding_round"), stray])
         (job,) = harness.job_table.jobs.values()
-        return [job_values(job), plain(rounds.assignments), plain(harness.inventory.hints), queue.orphaned_keys]
+        return [job_values(job), plain(rounds.assignments), plain(harness.inventory.image_hints), queue.orphaned_keys]
 
     assert text(virtual_time.run(main())) == text(positional(spelt("records/loaded")))
 
@@ -700,7 +740,7 @@
 def test_golden_records_of_a_job_answer_a_query(fixture, records, wall_clock):
     async def main():
         node = a_node(RecordingHttp())
-        node.user_api.page_size = 4
+        node.user_api.lookup.page_size = 4
         node.replica.entries.update({entry.key: entry for entry in golden_entries(*records)})
         return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
 
@@ -750,24 +790,19 @@
         client = state_client(RecordingHttp())
         client.last_success_at = 0.0
         replica = make_replica(client, entries)
-        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
-        for entry in entries:
-            for listener in replica.listeners:
-                listener(entry.key, entry)
-        return leadership.leader(), leadership.known_term
+        redirects = make_redirects(client, replica)
+        replica.apply([state.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
+        return redirects.leader(monotonic_time()), redirects.leadership.known_term
 
     assert virtual_time.run(main()) == ("n1", 41)
 
 
 def show(node, key, value, version=7):
     """Let a node's copy of the state show an entry."""
-    entry = state.Entry(key, value, version)
-    node.replica.entries[key] = entry
-    for listener in node.replica.listeners:
-        listener(key, entry)
+    node.replica.apply([state.Change(key, True, value, version)], 0)
 
 
-def test_golden_permit_mark_counts_the_job_in_its_slot(wall_clock):
+def test_golden_grant_reference_counts_the_job_in_its_slot(wall_clock):
     async def main():
         node = a_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
@@ -855,7 +890,7 @@
             )
         finals = []
         queue = commit_queue(client, harness.job_table)
-        queue.on_final = lambda *final: finals.append(list(final))
+        queue.on_finalized = lambda *final: finals.append(list(final))
         assert await queue.commit(queue.build(12))
         return finals, job.cancelled, job.cancelled_at
 
@@ -875,7 +910,7 @@
     """A subsystem with its part in the messages, and a link to the one peer; both keep what they get."""
 
     name = "admission"
-    answer, asked_at, waiting_since = None, -1e9, None
+    answer, waiting_since = None, None
 
     def __init__(self):
         self.got, self.sent = [], []
@@ -886,6 +921,9 @@
     def received(self, node, data):
         self.got.append([node, data.hex()])
 
+    def subscribe(self, listener):
+        self.listener = listener
+
     async def ask(self, heartbeat, timeout):
         self.sent.append(frame(heartbeat))
 
@@ -894,13 +932,13 @@
     neighbour = Neighbour()
     seen = []
     view = make_heartbeat(spelt("peers/own_view"))
-    peers = Peers([neighbour], lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known)
-    peers.extensions.append(neighbour)
+    table = PeerTable([neighbour], 1.0)
+    peers = PeerExchange(table, lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known, [neighbour])
     return peers, neighbour, seen
 
 
 def test_answer_to_the_golden_message_keeps_its_bytes():
-    known = Cancellations(1e6)
+    known = CancellationLog(1e6)
     for number in range(20):
         known.learn(f"wk-{5000 + number}", 0.0)
 
@@ -922,12 +960,12 @@
     async def main():
         await asyncio.sleep(10.0)
         node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
-        node.leadership.run_id = node.admission.incarnation = 7000001
-        node.replica.proved(7.375)
+        node.leadership.incarnation = node.admission.incarnation = 7000001
+        node.replica.mark_complete(7.375)
         for number in range(3):
             node.cancellations.learn(f"wk-{5000 + number}", 8.0)
         for number in range(2):
-            node.leadership.redirect(f"host-{number}", 41)
+            node.redirects.target(f"host-{number}", 41)
         node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
@@ -944,18 +982,18 @@
 
 
 def test_after_the_golden_answer_the_next_question_keeps_its_bytes():
-    known = Cancellations(1e6)
+    known = CancellationLog(1e6)
 
     async def main():
         peers, neighbour, _ = peers_with_a_neighbour(known)
-        neighbour.heard(receive_heartbeat(golden("peers/answer.frame")), 3.0)
+        neighbour.listener(PeerAnswer(receive_heartbeat(golden("peers/answer.frame")), 3.0))
         work = asyncio.ensure_future(peers.run(1.0))
         await asyncio.sleep(0.5)
         work.cancel()
         return neighbour.sent
 
     (question,) = virtual_time.run(main())
-    assert known.piece(0, 100)[1] == spelt("peers/answer")["cancelled"]
+    assert known.entries_since(0, 100).job_ids == spelt("peers/answer")["cancelled"]
     assert decode_heartbeat(question) == positional(spelt("peers/question"))
     assert question == golden("peers/question.frame")
 
@@ -984,8 +1022,11 @@
         replica = make_replica(client, unreadable(entries, key))
         leadership = make_leadership(client, replica)
         catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
+        settings, peers = make_settings(), PeerTable([], 1.0)
+        renewal = RenewalPolicy(settings, leadership, client, replica, peers)
+        cloud_http = cloud_client(http)
         term = LeaderTerm(
-            make_settings(), client, cloud_client(http), replica, leadership.cancellations, leadership, catalog
+            settings, client, cloud_http, replica, CancellationLog(1e6), leadership, renewal, peers, catalog
         )
         term.start()
         await asyncio.sleep(3.0)
@@ -993,7 +1034,8 @@
         for task in term.tasks:
             await asyncio.wait([task])
         if key is not None:
-            assert isinstance(term.tasks[0].exception(), KeyError)
+            unreadable_error = UnreadableRecordError if key.startswith(("p/j/", "p/t/", "p/c/")) else KeyError
+            assert isinstance(term.tasks[0].exception(), unreadable_error)
         return leadership.leading
 
     assert virtual_time.run(main()) is (key is None)
@@ -1005,7 +1047,7 @@
         client = state_client(RecordingHttp())
         client.last_success_at = 0.0
         replica = make_replica(client, [state.Entry("p/lead", value, 7)])
-        return Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5)).leader()
+        return make_redirects(client, replica).leader(monotonic_time())
 
     assert virtual_time.run(main()) is None
 
@@ -1015,16 +1057,15 @@
     async def main():
         client = state_client(RecordingHttp())
         replica = make_replica(client)
-        leadership = Leadership(make_settings(), client, replica, Cancellations(1e6), random.Random(5))
-        for listener in replica.listeners:
-            listener("p/term", state.Entry("p/term", value, 7))
+        leadership = Leadership(make_settings(), client, replica, random.Random(5))
+        replica.apply([state.Change("p/term", True, value, 7)], 0)
         return leadership.known_term
 
     assert virtual_time.run(main()) == 0
 
 
 @pytest.mark.parametrize("mark", [None, 4711, [], ["4711", 13], {"?": 1}])
-def test_an_unreadable_permit_mark_counts_in_no_slot(mark):
+def test_an_unreadable_grant_reference_counts_in_no_slot(mark):
     async def main():
         node = a_node(RecordingHttp(), AdmissionSettings())
         show(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
