--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Awaitable, Sequence
+from collections.abc import Sequence
 from functools import partial
 from typing import TYPE_CHECKING
 
@@ -24,7 +24,6 @@
 from passrock.core.token_bucket import rate_share
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
-from passrock.io.http_server import Request, Response
 from passrock.io.peer_link import Link
 from passrock.io.peers import PeerExchange, PeerTable
 from passrock.io.state import StateClient
@@ -76,19 +75,16 @@
             [] if self.admission is None else [self.admission],
         )
         self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog, self.admission)
-        self.router = RequestRouter(
+        router = RequestRouter(
             HeartbeatEndpoint(
                 self.leadership, self.renewal, self.redirects, self.cancellations, lambda: self.leader_term
             ),
             HealthCheck(settings, state, self.replica, self.catalog, self.peer_table),
             self.user_api,
         )
+        self.handle = router.handle  # answers requests that come to the client address
         self._share_rates(leading=False)
 
-    def handle(self, request: Request) -> Response | Awaitable[Response]:
-        """Answer a request that came to the client address."""
-        return self.router.handle(request)
-
     async def work(self) -> None:
         """Run everything but the listening sockets, until cancelled."""
         settings = self.settings
