--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -20,7 +20,7 @@
 SLOT_S = 4.0  # with the simulation's report interval
 
 
-def flood_world(seed, admission=ADMISSION, **options):
+def overloaded_cluster(seed, admission=ADMISSION, **options):
     """Three controllers with few changes a second, and the checker."""
     options = {"write_rps": 10.0, "objectives": OBJECTIVES, "admission": admission, **options}
     cluster = SimulatedCluster(seed, **options)
@@ -165,7 +165,7 @@
     return False
 
 
-class Flood:
+class SubmissionLoad:
     """Submits jobs of one class at a steady rate."""
 
     def __init__(self, cluster, checker, first, **fields):
--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -9,8 +9,8 @@
         self.broken = []
         self.present = {}  # (job, index) -> set of (machine, attempt)
         self.starts = 0
-        self.told_cancelled = {}
-        self.told = {}
+        self.confirmed_cancelled = {}
+        self.confirmed = {}
         self.accepted = set()
         self.cancel_asked = set()
         self.unanswered_since = {}
@@ -32,7 +32,7 @@
         self._check_place(worker, task)
         self.present.setdefault(key, set()).add((worker.name, task.attempt_number))
         self._check_quota(self.cluster.specs[task.job]["desk"])
-        told = self.told_cancelled.get(task.job)
+        told = self.confirmed_cancelled.get(task.job)
         if told is not None and self.cluster.now() - told > self.cluster.limits["cancel_s"]:
             self.break_rule("ran_cancelled", f"{key} started")
         self.starts_cancelled += told is not None
@@ -72,12 +72,12 @@
         """What has to hold at any moment."""
         now = self.cluster.now()
         for (job, index), places in self.present.items():
-            told = self.told_cancelled.get(job)
+            told = self.confirmed_cancelled.get(job)
             if places and told is not None and now - told > self.cluster.limits["cancel_s"]:
                 self.break_rule("ran_cancelled", f"{job}/{index} still on {places}")
-                self.told_cancelled[job] = now
+                self.confirmed_cancelled[job] = now
 
-        if self.watch_waits and now > self.cluster.trouble_until:
+        if self.watch_waits and now > self.cluster.disrupted_until:
             self._look_at_waits(now)
 
     def _look_at_waits(self, now):
@@ -85,11 +85,11 @@
         placed = {job for (job, _), places in self.present.items() if places}
         for job in self.accepted:
             spec = self.cluster.specs[job]
-            over = job in self.cancel_asked or self.told[job][1] in ("done", "cancelled")
+            over = job in self.cancel_asked or self.confirmed[job][1] in ("done", "cancelled")
             tasks = 1 if spec["format"] == "batch" else spec["volumes"]
             if over or job in placed or not self._has_room(spec, tasks):
                 self.waiting_since.pop(job, None)
-            elif now - max(self.waiting_since.setdefault(job, now), self.cluster.trouble_until) > 90.0:
+            elif now - max(self.waiting_since.setdefault(job, now), self.cluster.disrupted_until) > 90.0:
                 self.break_rule("left_waiting", job)
                 self.waiting_since[job] = now
 
@@ -120,7 +120,7 @@
     def asked(self, job):
         """A user asks about an accepted job; once troubles are over it may not go unanswered for 75 s."""
         now = self.cluster.now()
-        since = max(self.unanswered_since.setdefault(job, now), self.cluster.trouble_until)
+        since = max(self.unanswered_since.setdefault(job, now), self.cluster.disrupted_until)
         if now - since > 75.0:
             self.break_rule("forgotten", f"{job} unanswered since {since}")
             self.unanswered_since[job] = now
@@ -131,7 +131,7 @@
         """A user got an answer to a question asked at ``asked_at``."""
         if status in (400, 422) and job in self.accepted:
             self.break_rule("forgotten", f"{job} refused with {status}")
-        if status == 404 and any(at <= asked_at for at in [self.told.get(job, (1e18, ""))[0]]):
+        if status == 404 and any(at <= asked_at for at in [self.confirmed.get(job, (1e18, ""))[0]]):
             self.break_rule("forgotten", f"{job} unknown")
         if status not in (200, 201):
             return
@@ -148,11 +148,11 @@
                 self.break_rule("not_done", job)
         if state == "cancelled" and job not in self.cancel_asked:
             self.break_rule("went_back", f"{job} cancelled by nobody")
-        before_at, before = self.told.get(job, (1e18, ""))
+        before_at, before = self.confirmed.get(job, (1e18, ""))
         if before in ("done", "cancelled") and state != before and before_at <= asked_at:
             self.break_rule("went_back", f"{job} was {before}, is {state}")
         if state == "cancelled":
-            self.told_cancelled.setdefault(job, self.cluster.now())
+            self.confirmed_cancelled.setdefault(job, self.cluster.now())
         if before not in ("done", "cancelled"):
-            self.told[job] = (self.cluster.now(), state)
+            self.confirmed[job] = (self.cluster.now(), state)
         self.accepted.add(job)
--- a/tests/standins/cloud_service.py
+++ b/tests/standins/cloud_service.py
@@ -44,8 +44,8 @@
             self.machines[name][0]["status"] = "running"
             self.on_up(self.machines[name][0])
 
-    def take(self, name):
-        """The machine is gone: deleted or taken back."""
+    def delete(self, name):
+        """The machine no longer exists: deleted or preempted."""
         entry = self.machines.pop(name, None)
         if entry is not None:
             row = entry[0]
@@ -63,7 +63,7 @@
             return self._rent(cbor2.loads(body))
         if url.path == "/rentals/delete":
             for name in cbor2.loads(body)["stacks"]:
-                self.take(name)
+                self.delete(name)
             return 200, cbor2.dumps({})
         return self._list(parse_qs(url.query))
 
--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -7,14 +7,14 @@
 from standins.simulated_cluster import SimulatedCluster
 
 
-async def settled(seed, jobs=4, machines=6, service=True, **fields):
+async def settled_cluster(seed, jobs=4, machines=6, service=True, **fields):
     """A cluster with some jobs running; its leader's name."""
     cluster = SimulatedCluster(seed, machines=machines)
     for number in range(jobs):
         kind = {"format": "service", "precedence": "prod", "loanS": 0.0} if service else {}
         cluster.spawn(cluster.user(cluster.job(number, **{**kind, **fields}), run_s=1e6, cancel_after=1e9))
     await asyncio.sleep(20.0)
-    return cluster, await cluster.a_leader()
+    return cluster, await cluster.wait_for_leader()
 
 
 def others(cluster, leader):
@@ -54,9 +54,9 @@
     return cluster.workers[name].report()
 
 
-async def away_longer_than_a_lease(cluster, leader):
+async def all_controllers_down_longer_than_a_lease(cluster, leader):
     sessions = {name: worker.incarnation for name, worker in cluster.workers.items()}
-    await cluster.withdraw("wk-000002")
+    await cluster.cancel("wk-000002")
     await cluster.crash(list(cluster.nodes), cluster.limits["lease_s"] * 1.5)
     return all(cluster.workers[name].incarnation > incarnation for name, incarnation in sessions.items())
 
@@ -70,11 +70,11 @@
     return met and bool(names)
 
 
-async def machines_deaf_to_the_new_leader(cluster, leader):
-    return await leader_ends_while_machines_are_cut(cluster, leader, "deaf", 25.0)
+async def machines_unreachable_from_the_new_leader(cluster, leader):
+    return await leader_ends_while_machines_are_cut(cluster, leader, "unreachable_inbound", 25.0)
 
 
-async def hand_over_and_back(cluster, leader):
+async def failover_and_back(cluster, leader):
     term = cluster.nodes[leader].node.leadership.term
     await cluster.elections(4)
     await cluster.crash(list(cluster.nodes), 0.3)
@@ -94,7 +94,7 @@
     await cluster.crash([leader], 4.0)
     met = ("wk-000002", 1) not in cluster.completed
     await asyncio.sleep(LONG / 2)
-    await cluster.crash([await cluster.a_leader()], 0.2)
+    await cluster.crash([await cluster.wait_for_leader()], 0.2)
     return met and ("wk-000002", 2) in cluster.completed and ("wk-000002", 1) not in cluster.completed
 
 
@@ -102,21 +102,21 @@
     cluster.state_delay = 0.4
     await asyncio.sleep(5.0)
     cluster.spawn(cluster.refuse(leader, 12.0))
-    told = [await cluster.withdraw("wk-000003", others(cluster, leader)[0])]
-    cluster.spawn(cluster.withdraw_until_told("wk-000006"))
+    confirmed = [await cluster.cancel("wk-000003", others(cluster, leader)[0])]
+    cluster.spawn(cluster.cancel_until_confirmed("wk-000006"))
     await asyncio.sleep(0.2)
     await cluster.outage(cluster.limits["cancel_s"] * 1.2)
     cluster.state_delay = 0.0
-    return told == [True]
+    return confirmed == [True]
 
 
 async def zone_bound_jobs_lose_machines(cluster, leader):
     names = on_machines(cluster, "wk-000004")[:1] + on_machines(cluster, "wk-000006")[:1]
-    cluster.cloud.take(names[0])
+    cluster.cloud.delete(names[0])
     cut(cluster, "machine", names[1:], 30.0)
     await asyncio.sleep(2.0)
     met = 0 < len(on_machines(cluster, "wk-000004")) <= 2
-    await cluster.crash([await cluster.a_leader()], 4.0)
+    await cluster.crash([await cluster.wait_for_leader()], 4.0)
     return met
 
 
@@ -134,7 +134,7 @@
     for _ in range(2):
         for body in [body for bodies in held.values() for body in bodies]:
             for node in cluster.nodes:
-                cluster._late_report(node, body)
+                cluster.deliver_late_heartbeat(node, body)
         await asyncio.sleep(1.0)
     return met
 
@@ -143,10 +143,10 @@
     cluster.spawn(cluster.isolate(leader, 25.0))
     while not [name for name in cluster.leaders() if name != leader]:
         await asyncio.sleep(0.1)
-    told = await cluster.withdraw("wk-000003", cluster.leaders()[0])
+    confirmed = await cluster.cancel("wk-000003", cluster.leaders()[0])
     asked = await cluster.ask("GET", "/v2/runs/wk-000003", node=leader)
     await asyncio.sleep(25.0)
-    return told and asked[0] in (429, 503)  # the old one can't know, and says so
+    return confirmed and asked[0] in (429, 503)  # the old one can't know, and says so
 
 
 async def limit_and_a_new_leader(cluster, leader):
@@ -159,14 +159,14 @@
     ]
     cut(cluster, "machine", {name for key in mine for name, _ in cluster.checker.present[key]}, 20.0)
     await cluster.crash([leader], 4.0)
-    await cluster.withdraw_until_told("wk-000012")
+    await cluster.cancel_until_confirmed("wk-000012")
     await asyncio.sleep(25.0)
     return len(mine) >= cluster.limits["gpus_max"] - 1
 
 
 async def late_transactions(cluster, leader):
     cluster.late_share = 0.3
-    cluster.spawn(cluster.withdraw_until_told("wk-000003"))
+    cluster.spawn(cluster.cancel_until_confirmed("wk-000003"))
     commits = cluster.state.commits
     await asyncio.sleep(30.0)
     cluster.late_share = 0.0
@@ -174,7 +174,7 @@
     return cluster.state.late_after_newer > 0 and cluster.state.commits > commits
 
 
-async def more_work_than_room(cluster, leader):
+async def more_work_than_capacity(cluster, leader):
     cut(cluster, "slow_answer", list(cluster.workers), 40.0)
     for number in range(20, 40):
         urgent = number % 3 == 0
@@ -184,7 +184,7 @@
     return sum(job not in {j for j, _ in cluster.checker.present} for job in cluster.checker.accepted) > 3
 
 
-async def meets_the_end_of_the_last_task(cluster, leader):
+async def requests_at_the_end_of_the_last_task(cluster, leader):
     """A question, a cancellation and a repeated submission, each around the moment of the end."""
     worlds_end = []
     for number in range(50, 62):
@@ -198,7 +198,7 @@
             if (job, 0) in cluster.completed and job not in worlds_end:
                 worlds_end.append(job)
                 if number % 3 == 0:
-                    cluster.spawn(cluster.withdraw_until_told(job))
+                    cluster.spawn(cluster.cancel_until_confirmed(job))
                 elif number % 3 == 1:
                     cluster.spawn(cluster.user(cluster.specs[job], run_s=3.0))
     return len(worlds_end) == 12
@@ -212,10 +212,10 @@
     cut(cluster, "outside", [zone], for_s)
     cluster.spawn(cluster.isolate(leader, for_s))
     await asyncio.sleep(6.0)
-    new = await cluster.a_leader()
-    told = await cluster.withdraw("wk-000003", new)
+    new = await cluster.wait_for_leader()
+    confirmed = await cluster.cancel("wk-000003", new)
     await asyncio.sleep(for_s)
-    return told and new != leader and bool(names)
+    return confirmed and new != leader and bool(names)
 
 
 async def held_up_commands(cluster, leader):
@@ -224,7 +224,7 @@
     await asyncio.sleep(2.0)
     for name in names:
         cluster.workers[name].hung_until = cluster.now() + 6.0
-    await cluster.withdraw("wk-000004")
+    await cluster.cancel("wk-000004")
     await cluster.crash([leader], 0.3)
     await asyncio.sleep(30.0)
     return bool(names)
@@ -240,44 +240,44 @@
         await asyncio.sleep(6.0)
         terms |= {sim.node.leadership.term for sim in cluster.nodes.values()}
         if step == 3:
-            cluster.spawn(cluster.withdraw_until_told("wk-000004"))
+            cluster.spawn(cluster.cancel_until_confirmed("wk-000004"))
     return len(terms - {0}) >= 10  # none is taken while the service is out
 
 
 async def report_held_until_a_new_leader_acted(cluster, leader):
     names = on_machines(cluster, "wk-000006") + on_machines(cluster, "wk-000002")
     held = {name: newest(cluster, name) for name in names}
-    cluster.spawn(cluster.withdraw_until_told("wk-000006"))
+    cluster.spawn(cluster.cancel_until_confirmed("wk-000006"))
     await cluster.crash([leader], 4.0)
-    new = await cluster.a_leader()
+    new = await cluster.wait_for_leader()
     await asyncio.sleep(8.0)
     met = all(cbor2.loads(body)["warrant"] < cluster.nodes[new].node.leadership.term for body in held.values())
     for body in held.values():
-        cluster._late_report(new, body)
-        cluster._late_report(others(cluster, new)[0], body)
+        cluster.deliver_late_heartbeat(new, body)
+        cluster.deliver_late_heartbeat(others(cluster, new)[0], body)
     return met
 
 
-async def mute_machines(cluster, leader):
+async def machines_unreachable_outbound(cluster, leader):
     names = sorted({name for job in ("wk-000000", "wk-000004", "wk-000006") for name in on_machines(cluster, job)})
-    cut(cluster, "mute", names, 30.0)
-    told = await cluster.withdraw("wk-000004")
+    cut(cluster, "unreachable_outbound", names, 30.0)
+    confirmed = await cluster.cancel("wk-000004")
     await asyncio.sleep(30.0)
-    return told and bool(names)
+    return confirmed and bool(names)
 
 
 async def cancelled_while_machines_hang(cluster, leader, how_many=3):
-    """Within the lease and beyond cancel_s, several at once, so that they look like a crowd."""
+    """Within the lease and beyond cancel_s, several at once, so that they look like a correlated outage."""
     names = sorted({name for (_, _), places in cluster.checker.present.items() for name, _ in places})[:how_many]
     jobs = {job for (job, _), places in cluster.checker.present.items() if set(dict(places)) & set(names)}
     for number, name in enumerate(names):
         cluster.workers[name].hung_until = cluster.now() + (8.0 if number % 2 else cluster.limits["cancel_s"] * 2)
-    told = [await cluster.withdraw(job) for job in sorted(jobs)]
+    confirmed = [await cluster.cancel(job) for job in sorted(jobs)]
     await asyncio.sleep(cluster.limits["cancel_s"] * 1.2)
-    return all(told) and bool(told)
+    return all(confirmed) and bool(confirmed)
 
 
-async def most_of_the_fleet_hangs(cluster, leader):
+async def most_machines_hang(cluster, leader):
     return await cancelled_while_machines_hang(cluster, leader, 7)
 
 
@@ -321,11 +321,11 @@
     "imageGb",
 )
 
-SCENES = [
-    away_longer_than_a_lease,
+SCENARIOS = [
+    all_controllers_down_longer_than_a_lease,
     leader_ends_while_machines_are_cut,
-    machines_deaf_to_the_new_leader,
-    hand_over_and_back,
+    machines_unreachable_from_the_new_leader,
+    failover_and_back,
     tasks_end_far_apart,
     slow_state_then_refused_then_out,
     zone_bound_jobs_lose_machines,
@@ -333,26 +333,26 @@
     isolated_leader,
     limit_and_a_new_leader,
     late_transactions,
-    more_work_than_room,
-    meets_the_end_of_the_last_task,
+    more_work_than_capacity,
+    requests_at_the_end_of_the_last_task,
     zone_cut_off,
     held_up_commands,
     ten_leaders,
     report_held_until_a_new_leader_acted,
-    mute_machines,
+    machines_unreachable_outbound,
     cancelled_while_machines_hang,
-    most_of_the_fleet_hangs,
+    most_machines_hang,
     odd_requests,
 ]
 
 
-async def play(scene, seed, zones):
+async def run_scenario(scenario, seed, zones):
     cluster = SimulatedCluster(seed, zones=zones, machines=9, limit=8.0, capacity=(8, 4))
     cluster.checker.watch_waits = True
-    cluster.trouble_until = 1e9
+    cluster.disrupted_until = 1e9
     started_work(cluster)
     await asyncio.sleep(20.0)
-    met = await scene(cluster, await cluster.a_leader())
-    cluster.trouble_until = cluster.now() + 10.0
+    met = await scenario(cluster, await cluster.wait_for_leader())
+    cluster.disrupted_until = cluster.now() + 10.0
     await asyncio.sleep(130.0)
     return cluster, met
--- /dev/null
+++ b/tests/standins/users.py
@@ -0,0 +1,101 @@
+"""Simulated users: the jobs that they describe, and how they submit, query and cancel them."""
+
+import asyncio
+
+import cbor2
+
+from standins.deployment import TEAMS
+
+
+class SimulatedUsers:
+    """The part of the simulated cluster that acts for its users."""
+
+    def job(self, number, **fields):
+        """A job description."""
+        spec = {
+            "ref": f"wk-{number:06d}",
+            "shelfmark": "x",
+            "desk": f"t{number % TEAMS}",
+            "format": "batch",
+            "precedence": "standard",
+            "volumes": 1,
+            "cores": 5.0,
+            "cards": 1.0,
+            "ramGb": 20.0,
+            "edition": f"img-{number % 4}",
+            "imageGb": 2.0,
+            "bindings": None,
+            "branch": None,
+            "samePlace": False,
+            "spread": False,
+            "loaners": False,
+            "loanS": 10.0,
+            "bookmarkS": 0.0,
+            "shelveS": 0.0,
+            "dueS": None,
+        }
+        return {**spec, **fields}
+
+    def random_job(self, number):
+        """A job of any kind."""
+        rng = self.rng
+        kind = rng.choice(["batch", "batch", "group", "group", "service"])
+        fields = {"format": kind, "loaners": kind != "service" and rng.random() < 0.6}
+        if kind == "batch":
+            fields.update(volumes=rng.randint(1, 5), bookmarkS=5.0, shelveS=2.0)
+        elif kind == "group":
+            fields.update(volumes=rng.choice([1, 2, 3]), samePlace=rng.random() < 0.7, precedence="high")
+            fields.update(bookmarkS=5.0, shelveS=2.0, cards=rng.choice([1.0, 2.0]))
+        else:
+            fields.update(volumes=rng.choice([1, 3]), spread=True, precedence="prod", loanS=0.0)
+        return self.job(number, **fields)
+
+    async def user(self, spec, run_s=8.0, cancel_after=None):
+        """Submit a job and ask for it until it is over."""
+        job = spec["ref"]
+        self.specs[job], self.run_times[job] = spec, run_s
+        body = cbor2.dumps(spec)
+        while True:
+            at = self.now()
+            status, answer = await self.ask("POST", "/v2/runs", body, 5.0)
+            if status:
+                self.checker.answered(job, at, status, answer, submission=True)
+            if status in (200, 201):
+                break
+            assert status not in (400, 422), (status, answer)
+            await asyncio.sleep(1.0)
+        began = self.now()
+        while True:
+            await asyncio.sleep(self.rng.uniform(1.0, 3.0))
+            at = self.now()
+            self.checker.asked(job)
+            if cancel_after is not None and at - began > cancel_after:
+                self.checker.cancel_asked.add(job)
+                status, answer = await self.ask("POST", f"/v2/runs/{job}/withdraw", b"", 2.0)
+            else:
+                status, answer = await self.ask("GET", f"/v2/runs/{job}", b"", 2.0)
+            if status:
+                self.checker.answered(job, at, status, answer)
+            if status in (200, 201) and answer["status"] in ("done", "cancelled"):
+                break
+        self.done_users += 1
+        for _ in range(5):  # and now and then later
+            await asyncio.sleep(self.rng.uniform(5.0, 15.0))
+            at = self.now()
+            status, answer = await self.ask("GET", f"/v2/runs/{job}")
+            if status:
+                self.checker.answered(job, at, status, answer)
+
+    async def cancel(self, job, node=None):
+        """A user cancels, once; whether it was confirmed."""
+        self.checker.cancel_asked.add(job)
+        at = self.now()
+        status, answer = await self.ask("POST", f"/v2/runs/{job}/withdraw", node=node)
+        if status:
+            self.checker.answered(job, at, status, answer)
+        return status == 200 and answer["status"] == "cancelled"
+
+    async def cancel_until_confirmed(self, job):
+        """A user who repeats the request until it is answered."""
+        while not await self.cancel(job) and self.checker.confirmed.get(job, (0, ""))[1] != "done":
+            await asyncio.sleep(1.0)
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: reports, runs tasks, keeps its lease, as the interface describes it."""
+"""Stand-in for a worker: sends heartbeats, runs tasks, keeps its lease, as the interface describes it."""
 
 import asyncio
 
@@ -184,7 +184,7 @@
         if spec["format"] == "group":
             self._set(task, "gathering")
             self._later(task, self.limits["gang_wait_s"], self._alone)
-            self.cluster.gang_gathers(task)
+            self.cluster.gather_gang(task)
         else:
             self.begin(task)
 
@@ -204,19 +204,19 @@
     def _done(self, task):
         if task.state != "running":
             return
-        if self.cluster.specs[task.job]["format"] == "group" and not self.cluster.gang_whole(task):
+        if self.cluster.specs[task.job]["format"] == "group" and not self.cluster.gang_is_complete(task):
             return
         self.cluster.completed.add((task.job, task.index))
         self._end(task, "done")
         if self.cluster.specs[task.job]["format"] == "group":
-            self.cluster.gang_done(task)
+            self.cluster.finish_gang(task)
 
-    def mate_done(self, task):
+    def member_done(self, task):
         self.cluster.completed.add((task.job, task.index))
         self._end(task, "done")
 
-    def mate_gone(self, task):
-        """Another task of the running gang is gone: notice it within the peers' time."""
+    def member_lost(self, task):
+        """Another task of the running gang is lost: notice it within the peers' time."""
         delay = self.cluster.rng.uniform(0.1, 1.0) * self.limits["gang_peer_s"]
         self._later(task, delay, lambda t: self._end(t, "mates_gone"))
 
@@ -238,4 +238,4 @@
         self.cluster.checker.ended(self, task)
         self.changed.set()
         if was in ("running", "flushing") and why != "done" and self.cluster.specs[task.job]["format"] == "group":
-            self.cluster.gang_lost(task)
+            self.cluster.notify_gang_of_loss(task)
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -9,7 +9,7 @@
 from passrock.admission.core.starvation import StartWatch
 from passrock.admission.settings import AdmissionSettings
 from standins import virtual_time
-from standins.admission_load import ClassWaits, Flood, flood_world, submit
+from standins.admission_load import ClassWaits, SubmissionLoad, overloaded_cluster, submit
 
 WINDOW_S = 240.0
 ADMISSION = AdmissionSettings(window_s=WINDOW_S)
@@ -18,21 +18,21 @@
 
 async def full_fleet(seed, for_s, admission=ADMISSION, **options):
     """Two machines that can't be more, and production work for three times as many that never ends."""
-    cluster, checker = flood_world(seed, admission, machines=2, capacity=(0, 0), zones=("a",), **options)
+    cluster, checker = overloaded_cluster(seed, admission, machines=2, capacity=(0, 0), zones=("a",), **options)
     waits = ClassWaits(cluster, checker)
     cluster.spawn(waits.run())
     await asyncio.sleep(14.0)
-    high = Flood(cluster, checker, HIGH, shelfmark="high", precedence="prod", format="batch")
+    high = SubmissionLoad(cluster, checker, HIGH, shelfmark="high", precedence="prod", format="batch")
     cluster.spawn(high.run(0.28, for_s, run_s=20.0))
     await asyncio.sleep(30.0)
-    low = Flood(cluster, checker, LOW, shelfmark="low", precedence="low")
+    low = SubmissionLoad(cluster, checker, LOW, shelfmark="low", precedence="low")
     cluster.spawn(low.run(0.02, for_s - 30.0, run_s=5.0))
     return cluster, checker, waits
 
 
 async def rare_starts(for_s, admission=ADMISSION, **options):
     cluster, checker, waits = await full_fleet(1, for_s, admission, **options)
-    tiny = Flood(cluster, checker, 700_000, shelfmark="tiny", precedence="low", desk="t1")
+    tiny = SubmissionLoad(cluster, checker, 700_000, shelfmark="tiny", precedence="low", desk="t1")
     cluster.spawn(tiny.run(0.1, for_s - 30.0))
     large = cluster.job(LARGE, shelfmark="large", desk="t1", format="group", volumes=2, cards=2.0, precedence="low")
     cluster.spawn(submit(cluster, checker, large, run_s=5.0))
@@ -65,7 +65,7 @@
         cluster, _, waits = await full_fleet(2, 1000.0)
         for _ in range(20):
             await asyncio.sleep(35.0)
-            await cluster.crash([await cluster.a_leader()], 2.0)
+            await cluster.crash([await cluster.wait_for_leader()], 2.0)
         return cluster, waits
 
     cluster, waits = virtual_time.run(main())
@@ -97,7 +97,7 @@
         spec = cluster.job(LARGE, shelfmark="kept", precedence="low", **fields)
         cluster.spawn(submit(cluster, checker, spec))
         await asyncio.sleep(100.0)
-        leader = cluster.nodes[await cluster.a_leader()].node
+        leader = cluster.nodes[await cluster.wait_for_leader()].node
         outcomes = leader.admission._deciding is not None
         waits = {wait.flow.job_class: wait for wait in leader.admission.dispatch.waits}
         return outcomes, waits["kept"].obstacle.value, leader.leader_term.scheduler.overrides.prioritized
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from passrock.cli import main
-from standins.admission_load import OBJECTIVES, AdmissionChecker, Flood, note_starts
+from standins.admission_load import OBJECTIVES, AdmissionChecker, SubmissionLoad, note_starts
 from standins.loopback_cluster import ROOT, LoopbackCluster
 
 PATIENCE_S = 90.0  # far above what it takes; only a failure comes near it
@@ -23,8 +23,8 @@
         async with asyncio.timeout(PATIENCE_S):
             while not checker.pages:
                 await asyncio.sleep(0.2)
-            batch = Flood(cluster, checker, BATCH, shelfmark="batch", precedence="low")
-            look = Flood(cluster, checker, LOOK, shelfmark="look", precedence="prod")
+            batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
+            look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
             flood = cluster.spawn(batch.run(150.0, 12.0, run_s=0.5))
             await look.run(2.0, 12.0, run_s=0.5)
             await flood
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -17,7 +17,7 @@
 from passrock.io.errors import UnknownOutcomeError
 from passrock.io.peer_messages import frame
 from standins import virtual_time
-from standins.admission_load import ADMISSION, SLOT_S, Flood, flood_world, submit
+from standins.admission_load import ADMISSION, SLOT_S, SubmissionLoad, overloaded_cluster, submit
 
 BOUND_S = (
     3 * SLOT_S
@@ -29,8 +29,8 @@
 
 def flood(cluster, checker, rate=20.0, for_s=40.0, node=None):
     """Batch work at several times the rate that can be admitted, and some interactive work."""
-    batch = Flood(cluster, checker, BATCH, shelfmark="batch", precedence="low")
-    look = Flood(cluster, checker, LOOK, shelfmark="look", precedence="prod")
+    batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
+    look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
     cluster.spawn(batch.run(rate, for_s, node=node))
     cluster.spawn(look.run(0.25, for_s, node=node))
 
@@ -48,9 +48,9 @@
     """The others hear nothing; reports of it reach the leader late, twice and out of order."""
 
     async def main():
-        cluster, checker = flood_world(1)
+        cluster, checker = overloaded_cluster(1)
         await asyncio.sleep(WARM_S)
-        leader = await cluster.a_leader()
+        leader = await cluster.wait_for_leader()
         hears = next(name for name in cluster.nodes if name != leader)
         control = cluster.nodes[leader].node.admission
         received, copies = control.received, []
@@ -82,7 +82,7 @@
     """Between deciding and committing, after committing before anyone reads, and with the answer lost."""
 
     async def main():
-        cluster, checker = flood_world(2)
+        cluster, checker = overloaded_cluster(2)
         await asyncio.sleep(WARM_S)
         flood(cluster, checker, for_s=60.0)
         await asyncio.sleep(6.0)
@@ -128,10 +128,10 @@
     """What a flow received under one leader counts under the next."""
 
     async def main():
-        cluster, checker = flood_world(3)
+        cluster, checker = overloaded_cluster(3)
         await asyncio.sleep(WARM_S)
         for number in range(30):  # more classes than a slot has grants
-            one = Flood(cluster, checker, BATCH + 1000 * number, desk="t0", shelfmark=f"batch-{number}")
+            one = SubmissionLoad(cluster, checker, BATCH + 1000 * number, desk="t0", shelfmark=f"batch-{number}")
             cluster.spawn(one.run(2.0, 60.0))
         await asyncio.sleep(20.0)
         before = checker.allocation(slots_of(checker)[-1])
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("trouble", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
 def test_state_service_troubles_for_several_slots(trouble):
     async def main():
-        cluster, checker = flood_world(4)
+        cluster, checker = overloaded_cluster(4)
         await asyncio.sleep(WARM_S)
         flood(cluster, checker, for_s=70.0)
         await asyncio.sleep(6.0)
@@ -179,7 +179,7 @@
 
 def test_retries_at_all_controllers_spend_one_grant():
     async def main():
-        cluster, checker = flood_world(5)
+        cluster, checker = overloaded_cluster(5)
         await asyncio.sleep(WARM_S)
         slot = int(cluster.now() // SLOT_S) + 1
         await asyncio.sleep((slot + 0.2) * SLOT_S - cluster.now())
@@ -203,7 +203,7 @@
     """A retry, a question and a cancellation are answered in slots in which nothing is granted."""
 
     async def main():
-        cluster, checker = flood_world(6)
+        cluster, checker = overloaded_cluster(6)
         await asyncio.sleep(WARM_S)
         spec = cluster.job(LOOK, shelfmark="look")
         assert await submit(cluster, checker, spec, run_s=100.0, node="n0")
@@ -216,7 +216,7 @@
         asked = cluster.spawn(submit(cluster, checker, fresh))
         await asyncio.sleep(2.0)
         assert not asked.done()
-        return retries, polls, await cluster.withdraw(spec["ref"])
+        return retries, polls, await cluster.cancel(spec["ref"])
 
     assert virtual_time.run(main()) == ([True] * 3, [200] * 3, True)
 
@@ -225,7 +225,7 @@
     """A submission that is held up until its slot's record is deleted: the user comes back and is served."""
 
     async def main():
-        cluster, checker = flood_world(7)
+        cluster, checker = overloaded_cluster(7)
         await asyncio.sleep(WARM_S)
         follower = next(sim for sim in cluster.nodes.values() if not sim.node.leadership.leading)
         commit = follower.node.state.commit
@@ -253,9 +253,9 @@
     """In a rolling restart: who has it on follows whoever leads; a leader without it lets all of them admit."""
 
     async def main():
-        cluster, checker = flood_world(8, admission=None)
+        cluster, checker = overloaded_cluster(8, admission=None)
         rolled = [1, 2, 0]
-        look = Flood(cluster, checker, LOOK, shelfmark="look", precedence="prod")
+        look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
         cluster.spawn(look.run(1.0, 90.0))
         await asyncio.sleep(WARM_S)
         for number in rolled:  # from the version before to the settings of this case
@@ -279,7 +279,7 @@
 
 def test_switched_off_nothing_is_said_or_written():
     async def main():
-        cluster, checker = flood_world(9, admission=None)
+        cluster, checker = overloaded_cluster(9, admission=None)
         await asyncio.sleep(WARM_S)
         spec = cluster.job(LOOK, shelfmark="look")
         await submit(cluster, checker, spec)
@@ -295,13 +295,15 @@
 
 async def history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
     """A flood with random faults, clocks at the edges of their bound, and controllers that stand still."""
-    cluster, checker = flood_world(seed, admission, machines=2, capacity=(2, 1), freezes=True, late=0.02, lost=0.03)
+    cluster, checker = overloaded_cluster(
+        seed, admission, machines=2, capacity=(2, 1), freezes=True, late=0.02, lost=0.03
+    )
     for name, offset in zip(cluster.nodes, (0.005, -0.005, 0.0), strict=True):
         cluster.clock_offset[name] = offset
     cluster.rng.shuffle(list(cluster.nodes))
     await asyncio.sleep(8.0)
     flood(cluster, checker, rate=12.0, for_s=for_s)
-    cluster.trouble_until = 8.0 + for_s + 60.0
+    cluster.disrupted_until = 8.0 + for_s + 60.0
     cluster.spawn(cluster.faults(8.0 + for_s, gap))
     await asyncio.sleep(for_s)
     return cluster, checker
@@ -377,7 +379,7 @@
     """It goes on with requests that waited in its sockets; one that goes by an old look at the clock is caught."""
 
     async def main(stale):
-        cluster, checker = flood_world(10)
+        cluster, checker = overloaded_cluster(10)
         await asyncio.sleep(WARM_S)
         follower = next(sim for sim in cluster.nodes.values() if not sim.node.leadership.leading)
         clock = follower.node.admission.admitter.clock
@@ -409,7 +411,7 @@
 
 
 async def overloaded(seed, admission):
-    cluster, checker = flood_world(seed, admission=admission)
+    cluster, checker = overloaded_cluster(seed, admission=admission)
     await asyncio.sleep(WARM_S)
     flood(cluster, checker)
     await asyncio.sleep(75.0)
@@ -438,7 +440,7 @@
     monkeypatch.setattr(allocation_record, "PAGE_SPARE", 4096 - 200)
 
     async def main():
-        cluster, checker = flood_world(13)
+        cluster, checker = overloaded_cluster(13)
         await asyncio.sleep(WARM_S)
         for sim in cluster.nodes.values():
             flows = {Flow(f"t{n % 3}", f"class-{n * 7919 % 1000}"): FlowDemand(1, 1, 0, n / 7) for n in range(1000)}
@@ -458,7 +460,7 @@
 def test_settings_that_reserve_nothing_still_admit():
     async def main():
         bare = AdmissionSettings(interactive_share=0.0, burst_share=0.0, interactive_most=0.0)
-        cluster, checker = flood_world(11, admission=bare)
+        cluster, checker = overloaded_cluster(11, admission=bare)
         await asyncio.sleep(WARM_S)
         flood(cluster, checker, rate=4.0, for_s=20.0)
         await asyncio.sleep(60.0)
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -5,7 +5,7 @@
 import pytest
 
 from standins import virtual_time
-from standins.scenarios import others, settled
+from standins.scenarios import others, settled_cluster
 
 # What the controller that confirmed, or all of them, meet inside the outage: (trouble, whether the tasks of jobs that
 # nobody cancelled must live on).
@@ -24,7 +24,7 @@
 
 async def gap(seed, trouble, pause=0.3):
     """The state service refuses the leader alone, another node confirms, then the service is out for all."""
-    cluster, leader = await settled(seed)
+    cluster, leader = await settled_cluster(seed)
     teller, third = others(cluster, leader)
     if trouble == "workers reach the leader only":
         cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (teller, third)]
@@ -36,7 +36,7 @@
     if not pause:
         cluster.spawn(cluster.refuse(third, 1.0))  # nobody but the teller can know
         await asyncio.sleep(0.5)
-    confirmed = await cluster.withdraw("wk-000000", teller)
+    confirmed = await cluster.cancel("wk-000000", teller)
     known = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
     if trouble == "teller crashes":
         cluster.nodes[teller].kill()
@@ -77,7 +77,7 @@
     It once went by a majority's view of the service and the term alone, and kept cancelled tasks alive.
     """
     cluster, confirmed, known, survivors, led, starts = virtual_time.run(gap(seed, trouble, pause))
-    assert confirmed and not known  # another controller told the user, and the leader's copy did not have it
+    assert confirmed and not known  # another controller confirmed it, and the leader's copy did not have it
     assert cluster.checker.broken == []
     assert not cluster.checker.present[("wk-000000", 0)]
     if lives_on:
@@ -88,7 +88,7 @@
     """Refused from the moment of its own commit on, the leader's copy never shows it: its books must know."""
 
     async def main():
-        cluster, leader = await settled(202)
+        cluster, leader = await settled_cluster(202)
         sim, handle = cluster.nodes[leader], cluster.state.handle
 
         async def refused_from_here_on(method, path, body):
@@ -97,16 +97,16 @@
             return await handle(method, path, body)
 
         cluster.state.handle = refused_from_here_on
-        told = await cluster.withdraw("wk-000000", leader)
+        confirmed = await cluster.cancel("wk-000000", leader)
         cluster.state.handle = handle
         known = sim.node.replica.get("p/c/wk-000000") is not None
         await cluster.outage(cluster.limits["cancel_s"] * 1.4)
         sim.refused = False
         led = sim.node.leadership.leading
         await asyncio.sleep(20.0)
-        return cluster, told, known, led
+        return cluster, confirmed, known, led
 
-    cluster, told, known, led = virtual_time.run(main())
-    assert told and not known and led
+    cluster, confirmed, known, led = virtual_time.run(main())
+    assert confirmed and not known and led
     assert cluster.checker.broken == [] and not cluster.checker.present[("wk-000000", 0)]
     assert cluster.checker.starts == 4
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -10,10 +10,10 @@
 from passrock.io.clock import monotonic_time
 from standins import virtual_time
 from standins.scenarios import (
-    hand_over_and_back,
-    most_of_the_fleet_hangs,
+    failover_and_back,
+    most_machines_hang,
     odd_requests,
-    play,
+    run_scenario,
     slow_state_then_refused_then_out,
     zone_bound_jobs_lose_machines,
 )
@@ -24,25 +24,25 @@
     monkeypatch.setattr(RenewalPolicy, "knows_cancellations", lambda self, within_s: True)
 
 
-def takes_in_nothing(monkeypatch):
+def applies_no_peer_cancellations(monkeypatch):
     apply = PeerLogProgress.apply
     monkeypatch.setattr(PeerLogProgress, "apply", lambda self, *answer: [] if apply(self, *answer) else [])
 
 
-def waits_for_a_crowd_with_cancelled_tasks(monkeypatch):
+def waits_out_a_correlated_outage_with_cancelled_tasks(monkeypatch):
     monkeypatch.setattr(FailureDetector, "delete_with_cancelled_tasks", lambda self, now: None)
 
 
-def takes_whatever_comes(monkeypatch):
+def accepts_every_submission(monkeypatch):
     monkeypatch.setattr("passrock.controller.user_api.fault", lambda spec, teams, types: None)
 
 
-def forgets_to_place(monkeypatch):
+def stops_scheduling(monkeypatch):
     run = Scheduler.run
     monkeypatch.setattr(Scheduler, "run", lambda self, now: [] if now > 26.0 else run(self, now))
 
 
-def leaves_a_question_unanswered(monkeypatch):
+def leaves_a_query_unanswered(monkeypatch):
     query = UserApi._query
 
     async def _query(self, job_id):
@@ -62,18 +62,18 @@
 
 
 @pytest.mark.parametrize(
-    ("unsafe", "scene", "rule"),
+    ("unsafe", "scenario", "rule"),
     [
-        (takes_in_nothing, slow_state_then_refused_then_out, "ran_cancelled"),
-        (waits_for_a_crowd_with_cancelled_tasks, most_of_the_fleet_hangs, "ran_cancelled"),
-        (takes_whatever_comes, odd_requests, "accepted_impossible"),
-        (forgets_to_place, zone_bound_jobs_lose_machines, "left_waiting"),
-        (leaves_a_question_unanswered, hand_over_and_back, "forgotten"),
+        (applies_no_peer_cancellations, slow_state_then_refused_then_out, "ran_cancelled"),
+        (waits_out_a_correlated_outage_with_cancelled_tasks, most_machines_hang, "ran_cancelled"),
+        (accepts_every_submission, odd_requests, "accepted_impossible"),
+        (stops_scheduling, zone_bound_jobs_lose_machines, "left_waiting"),
+        (leaves_a_query_unanswered, failover_and_back, "forgotten"),
     ],
     ids=lambda value: getattr(value, "__name__", value),
 )
-def test_checker_catches(monkeypatch, unsafe, scene, rule):
-    """Each check that the scenes rest on fails on a controller that breaks it."""
+def test_checker_catches(monkeypatch, unsafe, scenario, rule):
+    """Each check that the scenarios rest on fails on a controller that breaks it."""
     unsafe(monkeypatch)
-    cluster, _ = virtual_time.run(play(scene, 300, ("a", "b", "c")))
+    cluster, _ = virtual_time.run(run_scenario(scenario, 300, ("a", "b", "c")))
     assert rule in {one for _, one, _ in cluster.checker.broken}
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -8,13 +8,13 @@
 
 from passrock.core.model import ZERO_RESOURCES
 from standins import virtual_time
-from standins.scenarios import SCENES, on_machines, others, play, settled
+from standins.scenarios import SCENARIOS, on_machines, others, run_scenario, settled_cluster
 
 
 @pytest.mark.parametrize("zones", [("a", "b", "c"), ("a",)], ids=["three", "one"])
-@pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
-def test_meeting(scene, zones):
-    cluster, met = virtual_time.run(play(scene, 300, zones))
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
+def test_coinciding_failures(scenario, zones):
+    cluster, met = virtual_time.run(run_scenario(scenario, 300, zones))
     assert met
     assert cluster.checker.broken == []
     for job in cluster.checker.accepted - cluster.checker.cancel_asked:
@@ -22,7 +22,7 @@
         tasks = [(job, index) for index in range(spec["volumes"])]
         alive = cluster.checker.present if spec["format"] == "service" else cluster.completed
         assert all(key in alive and (alive is cluster.completed or alive[key]) for key in tasks), job
-    for job in cluster.checker.told_cancelled:
+    for job in cluster.checker.confirmed_cancelled:
         assert not on_machines(cluster, job)
 
 
@@ -30,7 +30,7 @@
     """The record was read, then the cancellation was told and the job went: ``queued`` would be an older answer."""
 
     async def main():
-        cluster, leader = await settled(310)
+        cluster, leader = await settled_cluster(310)
         slow, third = others(cluster, leader)
         lookup, read = cluster.nodes[slow].node.user_api.lookup, cluster.nodes[slow].node.state.get
 
@@ -40,7 +40,7 @@
         async def get(key, timeout=1.5):
             answer = await read(key, timeout=timeout)
             if key == "p/j/wk-000000":
-                assert answer[0] is not None and await cluster.withdraw("wk-000000", third)
+                assert answer[0] is not None and await cluster.cancel("wk-000000", third)
                 while "p/f/wk-000000" not in cluster.state.data:
                     await asyncio.sleep(0.1)
             return answer
@@ -48,7 +48,7 @@
         lookup.fence.wait, lookup.state.get = no_fence, get
         asked = cluster.now()
         status, answer = await cluster.ask("GET", "/v2/runs/wk-000000", timeout=30.0, node=slow)
-        told = cluster.checker.told["wk-000000"]
+        told = cluster.checker.confirmed["wk-000000"]
         return status, answer["status"], told[1], asked < told[0]
 
     assert virtual_time.run(main()) == (200, "cancelled", "cancelled", True)
@@ -56,7 +56,7 @@
 
 def test_a_repeated_submission_is_never_refused_for_what_is_on_offer_now():
     async def main():
-        cluster, _ = await settled(311)
+        cluster, _ = await settled_cluster(311)
         answers = []
         for sim in cluster.nodes.values():
             sim.node.catalog.types = {
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,7 +20,7 @@
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, volumes=2)
         cluster.spawn(cluster.user(spec, cancel_after=1e9))
     await asyncio.sleep(25.0)
-    old = await cluster.a_leader()
+    old = await cluster.wait_for_leader()
     workers = sorted(cluster.workers.values(), key=lambda worker: worker.name)
     lost = workers[: round(len(workers) * cut_share)]
     began = cluster.now()
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -45,7 +45,7 @@
 
 async def quiet_minute():
     cluster = await quiet_fleet()
-    leader = cluster.nodes[await cluster.a_leader()].node
+    leader = cluster.nodes[await cluster.wait_for_leader()].node
     scheduler = leader.leader_term.scheduler
     standings, requests = scheduler.queue.guaranteed, []
     handle = cluster.state.handle
@@ -72,7 +72,7 @@
 
 async def one_report():
     cluster = await quiet_fleet()
-    leader = cluster.nodes[await cluster.a_leader()].node
+    leader = cluster.nodes[await cluster.wait_for_leader()].node
     worker = next(one for one in cluster.workers.values() if len(one.tasks) == 2)
     body = worker.report()
     answer, calls = calls_of(leader.handle, Request("POST", "/checkin", body))
--- a/tests/test_large_jobs.py
+++ b/tests/test_large_jobs.py
@@ -15,7 +15,7 @@
     cluster = SimulatedCluster(
         7, zones=("a",), machines=2, teams=3, guarantee=0.0, limit=1000.0, capacity=(machines, 0)
     )
-    await cluster.a_leader()
+    await cluster.wait_for_leader()
     spec = cluster.job(1, cores=14.0, cards=2.0, ramGb=50.0, loanS=300.0, volumes=machines, **fields)
     began = cluster.now()
     cluster.spawn(cluster.user(spec, run_s=300.0))
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -22,7 +22,7 @@
     return [name for name, sim in cluster.nodes.items() if sim.alive and sim.node.leadership.holds_lease()]
 
 
-async def settled(seed, jobs=2, machines=6, **fields):
+async def settled_cluster(seed, jobs=2, machines=6, **fields):
     """A cluster with some replicas running; its leader's name."""
     cluster = SimulatedCluster(seed, machines=machines)
     for number in range(jobs):
@@ -34,7 +34,7 @@
 
 def test_never_two_leaders_hold_the_lease_and_late_writes_fail():
     async def main():
-        cluster, old = await settled(60)
+        cluster, old = await settled_cluster(60)
         sim = cluster.nodes[old]
         leader_revision = sim.node.leadership.leader_revision
         cluster.spawn(cluster.refuse(old, 30.0))
@@ -57,7 +57,7 @@
 
 def test_restarted_leader_takes_over_its_own_key_at_once():
     async def main():
-        cluster, old = await settled(61)
+        cluster, old = await settled_cluster(61)
         term = cluster.nodes[old].node.leadership.term
         await cluster.crash([old], 0.1)
         await asyncio.sleep(1.0)
@@ -70,7 +70,7 @@
 
 def test_cancellation_reaches_tasks_though_the_leader_is_refused():
     async def main():
-        cluster, old = await settled(62)
+        cluster, old = await settled_cluster(62)
         cluster.spawn(cluster.refuse(old, 30.0))
         other = next(name for name in cluster.nodes if name != old)
         cluster.checker.cancel_asked.add("wk-000000")
@@ -102,7 +102,7 @@
 
 def test_a_node_whose_replica_lags_gives_no_older_answer():
     async def main():
-        cluster, old = await settled(64)
+        cluster, old = await settled_cluster(64)
         behind = next(name for name in cluster.nodes if name != old)
         cluster.spawn(cluster.refuse(behind, 20.0))
         await asyncio.sleep(0.5)
@@ -119,9 +119,9 @@
     """Its heartbeats look healthy: only a token it can't have without an answer tells it from a sound one."""
 
     async def main():
-        cluster, _ = await settled(65, jobs=3)
+        cluster, _ = await settled_cluster(65, jobs=3)
         deaf = next(iter(dict(cluster.checker.present[("wk-000000", 0)])))
-        cluster.cuts.append(("deaf", deaf, cluster.now() + 300.0))
+        cluster.cuts.append(("unreachable_inbound", deaf, cluster.now() + 300.0))
         cluster.cloud.outage = True  # no deletion helps at first: the unanswered lease has to end
         await asyncio.sleep(2.5 * cluster.limits["lease_s"])
         moved = dict(cluster.checker.present[("wk-000000", 0)])
@@ -138,7 +138,7 @@
     """One that no answer ever reached, and late copies of heartbeats of a machine that is deleted."""
 
     async def main():
-        cluster, leader = await settled(66)
+        cluster, leader = await settled_cluster(66)
         held = cluster.workers.copy()
         ghost = cbor2.loads(next(iter(held.values())).report()) | {"stack": "host-999999", "volumes": []}
         node = cluster.nodes[leader].node
@@ -159,7 +159,7 @@
 
 def test_a_leader_with_only_its_workers_stops_and_misleads_nobody():
     async def main():
-        cluster, old = await settled(67, jobs=4)
+        cluster, old = await settled_cluster(67, jobs=4)
         starts = cluster.checker.starts
         cluster.spawn(cluster.isolate(old, 40.0))
         node = cluster.nodes[old].node
@@ -189,7 +189,7 @@
     """Key-value store and peers see nothing wrong with it, and every task would end with its lease."""
 
     async def main():
-        cluster, old = await settled(69, jobs=12, machines=24, cards=2.0)
+        cluster, old = await settled_cluster(69, jobs=12, machines=24, cards=2.0)
         starts = cluster.checker.starts
         before = set(cluster.workers)
         cluster.cuts.append(("workers", old, cluster.now() + 60.0))
@@ -209,7 +209,7 @@
 
 def test_restarts_within_a_fraction_of_a_second_also_during_campaigns():
     async def main():
-        cluster, _ = await settled(68, jobs=4)
+        cluster, _ = await settled_cluster(68, jobs=4)
         starts = cluster.checker.starts
         await cluster.elections(25)
         await asyncio.sleep(5.0)
@@ -243,7 +243,7 @@
 
 async def pause_the_leader(seed, for_s):
     """A leader process is paused while heartbeats and users' questions wait in its sockets."""
-    cluster, old = await settled(seed, jobs=6, machines=12, cards=2.0)
+    cluster, old = await settled_cluster(seed, jobs=6, machines=12, cards=2.0)
     before = {name for places in cluster.checker.present.values() for name, _ in places}
     starts = cluster.checker.starts
     cluster.nodes[old].frozen_until = cluster.now() + for_s
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -13,19 +13,19 @@
 from standins.simulated_cluster import SimulatedCluster
 
 
-def play(seed, duration=240.0, jobs=16, gap=12.0, **cluster):
+def run_scenario(seed, duration=240.0, jobs=16, gap=12.0, **cluster):
     """One day; the checker and how many users saw their job end."""
 
     async def main():
         one = SimulatedCluster(seed, **cluster)
-        checker = await one.day(duration, jobs, gap)
+        checker = await one.run_workload(duration, jobs, gap)
         return checker, one.done_users
 
     return virtual_time.run(main())
 
 
 def test_quiet_day_serves_everyone():
-    checker, done = play(1, gap=float("inf"))
+    checker, done = run_scenario(1, gap=float("inf"))
     assert checker.broken == []
     assert done == 16
 
@@ -39,7 +39,7 @@
     + [(seed, {"freezes": True, "late": 0.03, "copies": 0.05}) for seed in range(90, 96)],
 )
 def test_rules_hold_on_days_of_faults(seed, cluster):
-    checker, done = play(seed, **cluster)
+    checker, done = run_scenario(seed, **cluster)
     assert checker.broken == []
     assert checker.starts > 0
     assert done >= 8  # most users are served all the same
@@ -68,8 +68,8 @@
 
 
 def test_a_day_replays_exactly():
-    first, second = play(42, duration=120.0), play(42, duration=120.0)
-    assert (first[0].starts, first[0].told, first[1]) == (second[0].starts, second[0].told, second[1])
+    first, second = run_scenario(42, duration=120.0), run_scenario(42, duration=120.0)
+    assert (first[0].starts, first[0].confirmed, first[1]) == (second[0].starts, second[0].confirmed, second[1])
 
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
@@ -77,7 +77,7 @@
     monkeypatch.setattr(
         MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
     )
-    rules = {rule for seed in range(50, 56) for _, rule, _ in play(seed, gap=6.0)[0].broken}
+    rules = {rule for seed in range(50, 56) for _, rule, _ in run_scenario(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
 
 
@@ -92,7 +92,7 @@
         )
 
     monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
-    days = (play(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
+    days = (run_scenario(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
@@ -113,7 +113,7 @@
 
     monkeypatch.setattr(MachineInventory, "observe", believe)
     monkeypatch.setattr(Reconciler, "handle", settle)
-    days = (play(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
+    days = (run_scenario(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
@@ -224,7 +224,7 @@
     cluster, status, answer, left = virtual_time.run(main())
     assert cluster.checker.broken == [] and cluster.state.oversized == 0
     assert status == 200 and answer["done"] >= 20
-    assert left == ["p/f/wk-000001"] and cluster.checker.told["wk-000001"][1] == "cancelled"
+    assert left == ["p/f/wk-000001"] and cluster.checker.confirmed["wk-000001"][1] == "cancelled"
 
 
 def test_malformed_answers_never_end_the_process():
@@ -287,7 +287,7 @@
     await asyncio.sleep(56.0)
     cluster.spawn(cluster.outage(8.0))
     for name in cluster.rng.sample(sorted(cluster.workers), 20):
-        cluster.cloud.take(name)
+        cluster.cloud.delete(name)
     await asyncio.sleep(6.0)
     await cluster.crash(list(cluster.nodes), 2.0)
     await asyncio.sleep(150.0)  # arrays that may use cheap machines wait for them for a while
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -38,7 +38,7 @@
 
     async def main():
         cluster = SimulatedCluster(400)
-        leader = await cluster.a_leader()
+        leader = await cluster.wait_for_leader()
         node = leader if leading else next(name for name in cluster.nodes if name != leader)
         await submit(cluster, node, 1)
         requests = cluster.nodes[node].node.state.requests
@@ -63,7 +63,7 @@
 def test_a_full_limit_on_questions_refuses_no_submission():
     async def main():
         cluster = SimulatedCluster(401)
-        await cluster.a_leader()
+        await cluster.wait_for_leader()
         users = cluster.nodes["n0"].node.user_api
         users.read_limiter.in_progress = int(users.read_limiter.limit)
         answers = []
@@ -85,7 +85,7 @@
 
     async def main():
         cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, limit=100.0)
-        leader = await cluster.a_leader()
+        leader = await cluster.wait_for_leader()
         body = {"cores": 0.5, "cards": 0.0, "ramGb": 0.5, "edition": "img-0"}
         for number in range(100, 400):
             spec = cluster.job(number, **body)
--- a/tools/admission_load_test.py
+++ b/tools/admission_load_test.py
@@ -13,7 +13,13 @@
 ROOT = Path(__file__).parents[1]
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "src")]
 
-from standins.admission_load import OBJECTIVES, AdmissionChecker, Flood, longest_gap, note_starts  # noqa: E402
+from standins.admission_load import (  # noqa: E402
+    OBJECTIVES,
+    AdmissionChecker,
+    SubmissionLoad,
+    longest_gap,
+    note_starts,
+)
 from standins.loopback_cluster import LoopbackCluster  # noqa: E402
 
 WINDOW_S = 600.0
@@ -36,7 +42,7 @@
     await asyncio.sleep(15.0)
     begin, for_s = cluster.now(), options.minutes * 60.0
     for first, name, rate, run_s, fields in FLOWS:
-        one = Flood(cluster, checker, first, shelfmark=name, **fields)
+        one = SubmissionLoad(cluster, checker, first, shelfmark=name, **fields)
         cluster.spawn(one.run(rate or options.rate, for_s, run_s=run_s))
     while cluster.now() - begin < for_s:
         await asyncio.sleep(min(180.0, for_s))
--- a/tools/rolling_restart.py
+++ b/tools/rolling_restart.py
@@ -70,7 +70,7 @@
     return entry[0]["node"] if entry is not None else None
 
 
-async def play(options, folder):
+async def run_scenario(options, folder):
     """Restart to the new sources and back; the cluster, and the users' tasks by job."""
     cluster = RollingRestartCluster(options.seed, zones=("a",), machines=8)
     served = {}
@@ -101,7 +101,7 @@
     parser.add_argument("--interval", type=float, default=15.0, metavar="S", help="seconds between two restarts")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        cluster, served = asyncio.run(play(options, Path(folder)))
+        cluster, served = asyncio.run(run_scenario(options, Path(folder)))
     failed = [job for job, user in served.items() if user.done() and not user.cancelled() and user.exception()]
     print(f"jobs submitted {len(served)}, served {cluster.done_users}, users that failed {failed}")
     print(f"tasks started {cluster.checker.starts}, rules broken {cluster.checker.broken}")
