--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -135,8 +135,8 @@
         rest = 1.0 - self.clock.elapsed(today) if self.clock.number(today) == slot else 1.0
         writes = self.settings.state_write_rps * self.clock.length_s * rest * self.pace.part
         count = self.settings.nodes
-        follower = writes * rate_share(False, count) * self.admission.intake_share
-        leader = writes * rate_share(True, count) * self.admission.leader_intake_share
+        follower = writes * rate_share(leading=False, nodes=count) * self.admission.intake_share
+        leader = writes * rate_share(leading=True, nodes=count) * self.admission.leader_intake_share
         return {node: max(1, math.floor(leader if node == self.settings.node else follower)) for node in nodes}
 
     def _pages(self, allocation: Allocation) -> list[dict[str, Any]]:
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -13,7 +13,7 @@
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
-from passrock.core.machine_health import WORKER_WAIT_S
+from passrock.core.machine_health import WORKER_REQUEST_TIMEOUT_S
 from passrock.core.model import Priority
 from passrock.io.peers import PeerTable
 from passrock.logs import info
@@ -111,7 +111,7 @@
         """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
         self.delete_with_cancelled_tasks(now)
         peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s / 2)
-        self.health.discovery_s = WORKER_WAIT_S if peer_unresponsive else 0.0
+        self.health.discovery_s = WORKER_REQUEST_TIMEOUT_S if peer_unresponsive else 0.0
         monitored = self._monitored()
         outage = self._assess_outage(monitored, now)
         if self._is_cut_off(outage, now):
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -115,7 +115,7 @@
 
     def _share_rates(self, *, leading: bool) -> None:
         """The leader needs most of the store's rates; the others share the rest."""
-        share = rate_share(leading, self.settings.nodes)
+        share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
             (self.state.requests, self.settings.state_rps),
             (self.state.writes, self.settings.state_write_rps),
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -163,7 +163,7 @@
         machine_type = self.catalog.types[offering.machine_type]
         for name in names:
             if name not in self.inventory.deleted:
-                self.inventory.add(name, machine_type, offering.zone, offering.spot, monotonic_time())
+                self.inventory.add(name, machine_type, offering.zone, spot=offering.spot, now=monotonic_time())
 
     def _mark_unavailable(self, offering: MachineOffering) -> None:
         boot_s = self.catalog.types[offering.machine_type].boot_s
@@ -229,7 +229,7 @@
             if row.name in self.inventory.deleted or machine_type is None:
                 continue
             known = row.name in self.inventory.machines
-            machine = self.inventory.add(row.name, machine_type, row.zone, row.spot, now, row.age)
+            machine = self.inventory.add(row.name, machine_type, row.zone, spot=row.spot, now=now, age=row.age)
             if not known:
                 info("machine_discovered", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
                 self.on_change()
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -1,4 +1,4 @@
-"""All machines of one leader term: heartbeats are taken in here, and deleted machines remembered."""
+"""All machines of one leader term: records their heartbeats, and remembers the deleted ones."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
         self.image_hints: dict[str, dict[str, float]] = {}
 
     def add(
-        self, name: str, machine_type: MachineType, zone: str, spot: bool, now: float, age: float = 0.0
+        self, name: str, machine_type: MachineType, zone: str, *, spot: bool, now: float, age: float = 0.0
     ) -> Machine:
-        """Add a machine that was rented or listed ``age`` seconds after its creation; a known one stays as it is."""
+        """Add a machine that was created ``age`` seconds ago; a known one stays as it is."""
         machine = self.machines.get(name)
         if machine is None:
             created_at = now - age
@@ -43,14 +43,14 @@
         return machine
 
     def observe(self, heartbeat: WorkerHeartbeat, machine_type: MachineType, now: float) -> Machine | None:
-        """Take in a heartbeat.
+        """Record a heartbeat.
 
         Returns:
             The machine, or None when the heartbeat is outdated or the machine was deleted.
         """
         if heartbeat.machine in self.deleted:
             return None
-        machine = self.add(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, now)
+        machine = self.add(heartbeat.machine, machine_type, heartbeat.zone, spot=heartbeat.spot, now=now)
         if self._is_outdated(heartbeat, machine, now):
             return None
         # the first heartbeat after missed ones may have been delayed too, its answer reaching nobody
@@ -74,7 +74,7 @@
         return machine
 
     def _is_outdated(self, heartbeat: WorkerHeartbeat, machine: Machine, now: float) -> bool:
-        """Whether a newer heartbeat was taken in, or this one must have been delayed on its way.
+        """Whether a newer heartbeat was recorded before, or this one must have been delayed on its way.
 
         A heartbeat of an incarnation whose lease has ended since was delayed: the worker is in its next one.
         """
@@ -87,7 +87,7 @@
         )
 
     def load_image_hints(self, images_by_machine: dict[str, dict[str, float]]) -> None:
-        """Take in an earlier leader's hints; machines get their images when they are first seen."""
+        """Keep an earlier leader's hints; machines get their images when they are first seen."""
         self.image_hints.update(images_by_machine)
 
     def record_deleted(self, name: str, now: float) -> None:
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -20,7 +20,7 @@
     zone: str
     spot: bool
     requested_at: float
-    """When it was rented, or created according to the cloud's list."""
+    """When it was requested, or created according to the cloud's list."""
 
     # -- heartbeats and reachability: see ``MachineHealth`` for what is concluded from them
     heartbeat_received: bool = False
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -51,13 +51,13 @@
     def buffer_offering(self, free_gpus: dict[str, float], now: float) -> MachineOffering | None:
         """The cheapest on-demand machine with GPUs, in the zone with the least free capacity."""
         offerings = [
-            MachineOffering(machine_type.name, zone, False)
+            MachineOffering(machine_type.name, zone, spot=False)
             for machine_type in self.types.values()
             for zone in machine_type.zones
-            if machine_type.size.gpus > 0 and self.is_available(MachineOffering(machine_type.name, zone, False), now)
+            if machine_type.size.gpus > 0
         ]
         return min(
-            offerings,
+            (offering for offering in offerings if self.is_available(offering, now)),
             key=lambda offering: (free_gpus.get(offering.zone, 0.0), self.price(offering), offering.zone),
             default=None,
         )
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -14,7 +14,7 @@
 # At least this many heartbeat intervals have to pass without one before a worker counts as unresponsive.
 UNRESPONSIVE_INTERVALS = 2.5
 # A worker waits this long for an answer before it tries another node.
-WORKER_WAIT_S = 4.0
+WORKER_REQUEST_TIMEOUT_S = 4.0
 
 
 def unresponsive_after(heartbeat_interval_s: float, lease_s: float, lease_ratio: float) -> float:
--- a/src/passrock/core/token_bucket.py
+++ b/src/passrock/core/token_bucket.py
@@ -8,7 +8,7 @@
 REJECTION_DEBT_S = 0.25  # a rejection by the service costs the tokens of so many seconds
 
 
-def rate_share(leading: bool, nodes: int) -> float:
+def rate_share(*, leading: bool, nodes: int) -> float:
     """A controller's share of the store's rates: the leader needs most of them, the others divide the rest."""
     if leading or nodes == 1:
         return LEADER_SHARE
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -31,7 +31,7 @@
     assert scale_out(harness, catalog, queue) == machine_counts
     for offering, count in machine_counts.items():  # booting machines are enough
         for i in range(count):
-            harness.inventory.add(f"new{i}", BOX, offering.zone, offering.spot, 0.0)
+            harness.inventory.add(f"new{i}", BOX, offering.zone, spot=offering.spot, now=0.0)
     assert scale_out(harness, catalog, queue) == {}
 
 
