--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -32,7 +32,7 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.peers import PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import error, info
 from passrock.settings import Settings
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         replica: Replica,
         cancellations: CancellationLog,
@@ -87,7 +87,7 @@
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
-    def _build_actions(self, settings: Settings, state: StateClient, cloud: CloudClient) -> None:
+    def _build_actions(self, settings: Settings, state: KeyValueStoreClient, cloud: CloudClient) -> None:
         leadership = self.leadership
         self.commit_queue = CommitQueue(
             state,
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -26,7 +26,7 @@
 from passrock.io.cloud import CloudClient
 from passrock.io.peer_link import Link
 from passrock.io.peers import PeerExchange, PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
 from passrock.wire.state import Entry
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         links: Sequence[Link],
         rng: random.Random,
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -13,9 +13,9 @@
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer
 from passrock.io.peer_link import PeerLink
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info, start_logging
-from passrock.settings import Settings, warnings
+from passrock.settings import Settings, resource_warnings
 
 WATCH_CONNECTIONS = 2
 CLOUD_CONNECTIONS = 4
@@ -27,7 +27,7 @@
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
     """A node with real clients."""
-    state = StateClient(
+    state = KeyValueStoreClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
         TokenBucket(settings.state_rps, settings.state_rps),
@@ -43,10 +43,15 @@
 async def run_node(node: Node) -> None:
     """Listen and work until cancelled."""
     settings = node.settings
-    server = HttpServer(node.handle, node.sockets, IDLE_TIMEOUT_S, settings.report_s * HEAD_TIMEOUT)
+    server = HttpServer(
+        node.handle,
+        node.sockets,
+        idle_timeout_s=IDLE_TIMEOUT_S,
+        head_timeout_s=settings.report_s * HEAD_TIMEOUT,
+    )
     listening = await server.start(settings.client_listen.host, settings.client_listen.port)
     peer_listening = await node.peers.listen(settings.peer_listen)
-    for warning in warnings(settings):
+    for warning in resource_warnings(settings):
         info("settings_warning", warning=warning)
     info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
     _tune_garbage_collection()
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -16,11 +16,12 @@
 from passrock.core.messages import ListedMachine
 from passrock.core.scaling import MAX_MACHINES_PER_REQUEST
 from passrock.io.clock import monotonic_time
-from passrock.io.cloud import CloudClient, CloudError, NoCapacityError
-from passrock.io.state import Committed, StateClient, StateError
+from passrock.io.cloud import CloudClient
+from passrock.io.errors import CloudError, NoCapacityError, StoreError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 from passrock.settings import Settings
-from passrock.wire.cloud import MOST_PER_DELETE
+from passrock.wire.cloud import MAX_PER_DELETE
 from passrock.wire.state import Delete, Entry, Put
 
 RETRY_S = 1.0
@@ -67,7 +68,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         catalog: MachineCatalog,
         inventory: MachineInventory,
@@ -124,7 +125,7 @@
                     self.leadership.step_down("leader key lost")
                     return
             await self._request(name, intent)
-        except StateError as problem:
+        except StoreError as problem:
             debug("provisioning_intent_failed", request=name, error=problem)
         finally:
             self._requested.discard(intent.offering)
@@ -175,7 +176,7 @@
             await asyncio.sleep(self.settings.list_lag_s * LISTED_LAGS)
         try:
             await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
-        except StateError:
+        except StoreError:
             debug("provisioning_intent_kept", request=name)
 
     # -- deprovisioning -----------------------------------------------------------------------------
@@ -197,7 +198,7 @@
             await self._deletion_queued.wait()
             self._deletion_queued.clear()
             while self._deletion_queue:
-                names = list(self._deletion_queue)[:MOST_PER_DELETE]
+                names = list(self._deletion_queue)[:MAX_PER_DELETE]
                 try:
                     await self.cloud.delete(names)
                 except CloudError as problem:
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -7,7 +7,8 @@
 from passrock.controller import keys
 from passrock.controller.replica import Replica
 from passrock.io.clock import monotonic_time
-from passrock.io.state import StateClient, StateError
+from passrock.io.errors import StoreError
+from passrock.io.state import KeyValueStoreClient
 
 COMMIT_SHARE = 0.2  # of a second's requests, left for commits when users' questions are read for
 READ_WAIT_S = 0.4  # a read waits no longer for the budget of requests: a user waits 2 s for an answer
@@ -22,7 +23,7 @@
         gap_s: the least time between two reads, during which questions gather for the next one.
     """
 
-    def __init__(self, state: StateClient, replica: Replica, gap_s: float) -> None:
+    def __init__(self, state: KeyValueStoreClient, replica: Replica, gap_s: float) -> None:
         self.state = state
         self.replica = replica
         self.gap_s = gap_s
@@ -49,7 +50,7 @@
         started = monotonic_time()
         try:
             _, revision = await self.state.get(keys.NOWHERE, timeout=READ_TIMEOUT_S)
-        except StateError:
+        except StoreError:
             return False
         if not await self.replica.reach(revision, CATCH_UP_TIMEOUT_S):
             return False
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -9,7 +9,7 @@
 from passrock.core.cancellations import complete_until, renewal_horizon
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
 
 LAUNCH_KNOWLEDGE_LEASES = 2.0  # leader leases: a watch over a quiet store answers about so often
@@ -24,7 +24,12 @@
     """
 
     def __init__(
-        self, settings: Settings, leadership: Leadership, state: StateClient, replica: Replica, peers: PeerTable
+        self,
+        settings: Settings,
+        leadership: Leadership,
+        state: KeyValueStoreClient,
+        replica: Replica,
+        peers: PeerTable,
     ) -> None:
         self.nodes = settings.nodes
         self.leadership = leadership
@@ -82,7 +87,7 @@
         if not leadership.leading or leadership.known_term > term:
             return False
         now = monotonic_time()
-        if not self.state.down(now, 0.0):
+        if not self.state.is_unavailable(now, 0.0):
             return False
         votes = 1
         for heartbeat in self.peers.recent_heartbeats(now):
@@ -111,7 +116,7 @@
             return False
         if self.leadership.leading or token < self.leadership.known_term or token == 0:
             return False
-        if not self.state.down(now, self.store_down_after_s):
+        if not self.state.is_unavailable(now, self.store_down_after_s):
             return False
         heartbeats = self.peers.recent_heartbeats(now)
         if len(heartbeats) + 1 < self.nodes:
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -10,7 +10,8 @@
 from passrock.controller import keys
 from passrock.core.instants import NEVER
 from passrock.io.clock import monotonic_time
-from passrock.io.state import CompactedError, StateClient, StateError
+from passrock.io.errors import CompactedError, StoreError
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info
 from passrock.wire.state import Change, Entry
 
@@ -44,7 +45,7 @@
         complete_as_of: the monotonic time at which the last read began that proved the replica complete as of then.
     """
 
-    def __init__(self, state: StateClient, finals_kept: int) -> None:
+    def __init__(self, state: KeyValueStoreClient, finals_kept: int) -> None:
         self.prefixes: tuple[str, ...] = LOADED_PREFIXES
         self.state = state
         self.finals_kept = finals_kept
@@ -80,7 +81,7 @@
                 await asyncio.sleep(WATCH_GAP_REQUESTS / self.state.requests.rate)
             except CompactedError:
                 self.loaded = False
-            except StateError:
+            except StoreError:
                 await asyncio.sleep(RETRY_S)
 
     async def _load(self) -> None:
--- a/src/passrock/controller/request_limits.py
+++ b/src/passrock/controller/request_limits.py
@@ -8,8 +8,8 @@
 from passrock.controller.job_lookup import UnavailableError
 from passrock.core.concurrency_limiter import AdaptiveConcurrencyLimiter
 from passrock.io.clock import monotonic_time
+from passrock.io.errors import StoreError
 from passrock.io.http_server import Response
-from passrock.io.state import StateError
 from passrock.logs import debug
 from passrock.settings import Settings
 from passrock.wire import users as wire
@@ -47,7 +47,7 @@
         response = await work
         failed = response.status >= 500
         return response
-    except (StateError, UnavailableError) as problem:
+    except (StoreError, UnavailableError) as problem:
         debug("user_request_unavailable", error=problem)
         return refuse(limiter, 503)
     finally:
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -12,21 +12,22 @@
 
 from passrock.controller import keys
 from passrock.core.model import JobSpec
-from passrock.core.records import Permit, encode_record, new_job_record
+from passrock.core.records import AdmissionToken, encode_record, new_job_record
 from passrock.io.clock import time_of_day
-from passrock.io.state import Committed, Refused, StateClient, StateError
+from passrock.io.errors import StoreError
+from passrock.io.state import Committed, KeyValueStoreClient, TransactionConflict
 from passrock.wire.state import Put, Write
 
 
-class PermitLapsedError(StateError):
-    """What permitted the submission is no longer in force; nothing was accepted."""
+class AdmissionTokenExpiredError(StoreError):
+    """What admitted the submission is no longer in force; nothing was accepted."""
 
 
 class PendingSubmission(msgspec.Struct):
     """A submission that awaits its transaction, with a future for each request that waits for the answer."""
 
     spec: JobSpec
-    permit: Permit | None
+    admission_token: AdmissionToken | None
     futures: list[asyncio.Future[bool]]
 
     @property
@@ -40,7 +41,7 @@
             if not future.done():
                 future.set_result(accepted)
 
-    def fail(self, problem: StateError) -> None:
+    def fail(self, problem: StoreError) -> None:
         """Fail every request: the job was not accepted, or the outcome is unknown."""
         for future in self.futures:
             if not future.done():
@@ -56,17 +57,17 @@
 class Submitter:
     """Accepts jobs, several in one transaction when many come at once."""
 
-    def __init__(self, state: StateClient, txn_ops: int) -> None:
+    def __init__(self, state: KeyValueStoreClient, txn_ops: int) -> None:
         """``txn_ops`` is the store's limit on the writes of one transaction."""
         self.state = state
         self.batch_limit = max(1, txn_ops - 1)
         self.queue: list[PendingSubmission] = []
         self.draining = False
 
-    async def submit(self, spec: JobSpec, permit: Permit | None = None) -> bool:
-        """True when accepted now, False when known already; raises StateError otherwise."""
+    async def submit(self, spec: JobSpec, admission_token: AdmissionToken | None = None) -> bool:
+        """True when accepted now, False when known already; raises StoreError otherwise."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.queue.append(PendingSubmission(spec, permit, [future]))
+        self.queue.append(PendingSubmission(spec, admission_token, [future]))
         if not self.draining:
             self.draining = True
             task = asyncio.ensure_future(self._drain())
@@ -104,17 +105,17 @@
         conditions: dict[str, int] = {}
         writes: list[Write] = []
         for pending in batch:
-            job_id, permit = pending.spec.id, pending.permit
+            job_id, admission_token = pending.spec.id, pending.admission_token
             conditions[keys.job(job_id)] = 0
             conditions[keys.final(job_id)] = 0
-            if permit is not None:
-                conditions[permit.key] = permit.mod_revision
-            permit_mark = permit.mark if permit is not None else None
-            record = new_job_record(pending.spec, time_of_day(), permit_mark)
+            if admission_token is not None:
+                conditions[admission_token.key] = admission_token.mod_revision
+            grant_reference = admission_token.grant_reference if admission_token is not None else None
+            record = new_job_record(pending.spec, time_of_day(), grant_reference)
             writes.append(Put(keys.job(job_id), encode_record(record)))
         try:
             result = await self.state.commit(conditions, writes)
-        except StateError as error:
+        except StoreError as error:
             for pending in batch:
                 pending.fail(error)
             return
@@ -124,14 +125,14 @@
         else:
             self._answer_refused(batch, result)
 
-    def _answer_refused(self, batch: list[PendingSubmission], result: Refused) -> None:
+    def _answer_refused(self, batch: list[PendingSubmission], result: TransactionConflict) -> None:
         """A condition failed and nothing was written: answer those that it was, and queue the others again."""
-        failed = set(result.failed)
+        failed = set(result.conflicting_keys)
         for pending in batch:
-            job_id, permit = pending.spec.id, pending.permit
+            job_id, admission_token = pending.spec.id, pending.admission_token
             if keys.job(job_id) in failed or keys.final(job_id) in failed:
                 pending.answer(False)
-            elif permit is not None and permit.key in failed:
-                pending.fail(PermitLapsedError("the permit has lapsed"))
+            elif admission_token is not None and admission_token.key in failed:
+                pending.fail(AdmissionTokenExpiredError("the admission token has expired"))
             else:
                 self.queue.append(pending)
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -18,7 +18,7 @@
 LEAST_TASKS_PER_PAGE = 8
 DONE = "done"
 CANCELLED = "cancelled"
-PERMIT_MARK = "ad"  # the field of a job's first record with the mark of its permit
+GRANT_REFERENCE = "ad"  # the field of a job's first record with the grant that its admission token names
 
 Record = TypeVar("Record", bound=msgspec.Struct)
 
@@ -27,15 +27,17 @@
     """A stored value that isn't a record of the expected kind."""
 
 
-class Permit(msgspec.Struct, frozen=True):
-    """What a submission's transaction depends on, and the mark that the job's first record carries of it.
+class AdmissionToken(msgspec.Struct, frozen=True):
+    """What a submission's transaction depends on, and the grant that the job's first record names.
 
-    A job is accepted only while the record under ``key`` has this version.
+    ``grant_reference`` is the slot and the incarnation of the controller whose grant was consumed.
+
+    A job is accepted only while the record under ``key`` has this revision.
     """
 
     key: str
     mod_revision: int
-    mark: list[int]
+    grant_reference: list[int]
 
 
 class AttemptRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -175,7 +177,7 @@
         "attempt_number": "a",
         "completed_bitmap": "d",
         "attempts": "l",
-        "permit_mark": PERMIT_MARK,
+        "grant_reference": GRANT_REFERENCE,
     },
 ):
     """An unfinished job with its first page of tasks, whose fields are those of a ``TaskPageRecord``.
@@ -183,7 +185,8 @@
     Attributes:
         spec: what the user submitted.
         submitted_at: seconds since the epoch.
-        permit_mark: the mark of the submission's permit if it needed one; only in the job's first record.
+        grant_reference: the grant that the submission's admission token names, if it needed one; only in the
+            job's first record.
     """
 
     spec: JobSpecRecord
@@ -191,7 +194,7 @@
     attempt_number: int
     completed_bitmap: str
     attempts: dict[int, AttemptRecord]
-    permit_mark: list[int] | msgspec.UnsetType = msgspec.UNSET
+    grant_reference: list[int] | msgspec.UnsetType = msgspec.UNSET
 
     @classmethod
     def of(cls, spec: JobSpec, submitted_at: float, first_page: TaskPageRecord) -> JobRecord:
@@ -232,10 +235,10 @@
         raise UnreadableRecordError(f"{kind.__name__}: {error}") from error
 
 
-def new_job_record(spec: JobSpec, submitted_at: float, permit_mark: list[int] | None = None) -> JobRecord:
-    """The first record of an accepted job, with the mark of its permit if it needed one."""
+def new_job_record(spec: JobSpec, submitted_at: float, grant_reference: list[int] | None = None) -> JobRecord:
+    """The first record of an accepted job, with the grant that its admission token names if it needed one."""
     record = JobRecord.of(spec, submitted_at, TaskPageRecord(0, "0", {}))
-    return record if permit_mark is None else msgspec.structs.replace(record, permit_mark=permit_mark)
+    return record if grant_reference is None else msgspec.structs.replace(record, grant_reference=grant_reference)
 
 
 def tasks_per_page(value_bytes: int) -> int:
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -27,13 +27,13 @@
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
 from passrock.admission.controller.dispatch import Dispatch
-from passrock.admission.controller.intake import Intake
 from passrock.admission.controller.outcomes import SlotOutcomes
-from passrock.admission.core.allocation import Allocation, Column, Service
+from passrock.admission.controller.submission_admitter import SubmissionAdmitter
+from passrock.admission.core.allocation import Allocation, NodeGrant, ReceivedService
 from passrock.admission.core.decision import Decision, FlowOutcome
 from passrock.admission.core.demand import DemandReport, FlowDemand
 from passrock.admission.core.flows import Flow, Weights
-from passrock.admission.core.grants import Grants
+from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.admission.core.starvation import Obstacle, StartWatch
 from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
@@ -60,8 +60,8 @@
 from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 from passrock.core.records import (
+    AdmissionToken,
     JobRecord,
-    Permit,
     UnreadableRecordError,
     decode_record,
     encode_record,
@@ -74,8 +74,8 @@
 from passrock.io.peer_link import PeerAnswer, PeerConnection
 from passrock.io.peer_messages import PeerHeartbeat, frame
 from passrock.io.peers import PeerExchange, PeerTable
-from passrock.io.state import StateClient
-from passrock.settings import Operator, parse_settings
+from passrock.io.state import KeyValueStoreClient
+from passrock.settings import OperatorSettings, parse_settings
 from passrock.wire import cloud, state, users, workers
 from standins import virtual_time
 from standins.deployment import node_table
@@ -83,7 +83,7 @@
 GOLDEN = Path(__file__).parent / "golden"
 TIME_OF_DAY = 1_700_000_123.25
 VALUE_BYTES = 1024
-PERMIT = Permit("p/a/000000004711/000", 97, [4711, 13])
+ADMISSION_TOKEN = AdmissionToken("p/a/000000004711/000", 97, [4711, 13])
 
 
 # -- fixture files -------------------------------------------------------------------------------------------
@@ -165,7 +165,7 @@
     record = decode_record(msgspec.json.decode(data), JobRecord)
     job = JobTable(50).load(record, 7, 100.0, 20.0)
     assert plain(record.spec.to_spec()) == plain(job.spec)
-    return [plain(job.spec), job.submitted_at, plain(record.permit_mark)]
+    return [plain(job.spec), job.submitted_at, plain(record.grant_reference)]
 
 
 def make_heartbeat(values):
@@ -193,9 +193,9 @@
 
 
 def make_demand(values):
-    node, life, started_ms, number, term, rows, left_out = values.values()
+    node, incarnation, started_ms, number, term, rows, omitted_flows = values.values()
     counted = flows(rows, lambda row: FlowDemand(*row.values()))
-    return DemandReport(node, life, started_ms, number, term, counted, left_out)
+    return DemandReport(node, incarnation, started_ms, number, term, counted, omitted_flows)
 
 
 def encode_demand_report(values):
@@ -206,15 +206,17 @@
     return plain(decode_demand("node-3", data))
 
 
-def make_column(life, interactive, shared, granted):
-    return Column(life, interactive, shared, flows(granted))
+def make_grant(incarnation, interactive, shared, granted):
+    return NodeGrant(incarnation, interactive, shared, flows(granted))
 
 
 def make_allocation(values):
-    slot, term, leader, columns, service, settled, started, pace = values.values()
-    columns = {node: make_column(*column.values()) for node, column in columns}
+    slot, term, leader, node_grants, service, settled, started, pace = values.values()
+    node_grants = {node: make_grant(*grant.values()) for node, grant in node_grants}
     teams, used = service.values()
-    return Allocation(slot, term, leader, columns, Service(dict(teams), flows(used)), settled, flows(started), pace)
+    return Allocation(
+        slot, term, leader, node_grants, ReceivedService(dict(teams), flows(used)), settled, flows(started), pace
+    )
 
 
 def unpacked(pages):
@@ -434,7 +436,7 @@
 
 
 def state_client(http):
-    return StateClient(http, http, TokenBucket(1e4, 1e4), TokenBucket(1e4, 1e4))
+    return KeyValueStoreClient(http, http, TokenBucket(1e4, 1e4), TokenBucket(1e4, 1e4))
 
 
 def cloud_client(http):
@@ -447,7 +449,7 @@
     table["deployment"]["cloud"]["list_lag_s"] = 0.0
     table["deployment"]["teams"][0]["gpus_max"] = 1000.0
     faults = []
-    settings = parse_settings(table, Operator(), faults)
+    settings = parse_settings(table, OperatorSettings(), faults)
     assert faults == []
     return msgspec.structs.replace(settings, admission=admission)
 
@@ -488,9 +490,9 @@
 
 
 async def accept_a_job(http):
-    """A submission with a permit, as a follower commits it."""
+    """A submission with an admission token, as a follower commits it."""
     spec = users.parse_submission(golden("users/submission_array.cbor"))
-    assert await Submitter(state_client(http), 9).submit(spec, PERMIT)
+    assert await Submitter(state_client(http), 9).submit(spec, ADMISSION_TOKEN)
 
 
 def started_job():
@@ -786,7 +788,7 @@
     async def main():
         entries = golden_entries("leadership")
         client = state_client(RecordingHttp())
-        client.last_good = 0.0
+        client.last_success_at = 0.0
         replica = make_replica(client, entries)
         redirects = make_redirects(client, replica)
         replica.apply([state.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
@@ -800,7 +802,7 @@
     node.replica.apply([state.Change(key, True, value, version)], 0)
 
 
-def test_golden_permit_mark_counts_the_job_in_its_slot(wall_clock):
+def test_golden_grant_reference_counts_the_job_in_its_slot(wall_clock):
     async def main():
         node = a_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
@@ -823,13 +825,14 @@
     assert (version, pages) == (7, len(spelt("records/allocation_pages")))
 
 
-def test_golden_allocation_gives_the_golden_permit(wall_clock):
+def test_golden_allocation_gives_the_golden_admission_token(wall_clock):
     values = spelt("records/allocation")
-    store = AllocationStore(dict)
+    grants = GrantLedger("node-1", 7000001)
+    store = AllocationStore(dict, grants.add)
     clock = SlotClock(TIME_OF_DAY / (4711 + 0.5))
-    intake = Intake(clock, Grants("node-1", 7000001), store, Weights({}, (), {}, {}, 1.5), random.Random(5))
+    admitter = SubmissionAdmitter(clock, grants, store, Weights({}, (), {}, {}, 1.5), random.Random(5))
     store.put(make_allocation(values), 97, 3)
-    assert plain(intake.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
+    assert plain(admitter.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
 
 
 def test_a_slot_is_committed_under_the_golden_keys_and_conditions(wall_clock):
@@ -844,7 +847,7 @@
         dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
-        store = AllocationStore(dict)
+        store = AllocationStore(dict, lambda allocation: None)
         for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
             store.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
         allocator = SlotAllocator(
@@ -957,13 +960,13 @@
     async def main():
         await asyncio.sleep(10.0)
         node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
-        node.leadership.incarnation = node.admission.life = 7000001
+        node.leadership.incarnation = node.admission.incarnation = 7000001
         node.replica.mark_complete(7.375)
         for number in range(3):
             node.cancellations.learn(f"wk-{5000 + number}", 8.0)
         for number in range(2):
             node.redirects.target(f"host-{number}", 41)
-        node.admission.intake.decide(make_spec(spelt("users/submission_array")))
+        node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
         answer = node.peers.reply(receive_heartbeat(golden("peers/heartbeat_demand.frame")))
@@ -1042,7 +1045,7 @@
 def test_an_unreadable_leader_key_names_no_leader(value):
     async def main():
         client = state_client(RecordingHttp())
-        client.last_good = 0.0
+        client.last_success_at = 0.0
         replica = make_replica(client, [state.Entry("p/lead", value, 7)])
         return make_redirects(client, replica).leader(monotonic_time())
 
@@ -1062,7 +1065,7 @@
 
 
 @pytest.mark.parametrize("mark", [None, 4711, [], ["4711", 13], {"?": 1}])
-def test_an_unreadable_permit_mark_counts_in_no_slot(mark):
+def test_an_unreadable_grant_reference_counts_in_no_slot(mark):
     async def main():
         node = a_node(RecordingHttp(), AdmissionSettings())
         show(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
@@ -1095,9 +1098,9 @@
         decode_allocation(pages)
     entries = {keys.allocation(4711, page): state.Entry("", value, 7) for page, value in enumerate(pages)}
     entries = {key: state.Entry(key, entry.value, 7) for key, entry in entries.items()}
-    store = AllocationStore(lambda: entries)
+    store = AllocationStore(lambda: entries, lambda allocation: None)
     for key, entry in entries.items():
-        store.changed(key, entry)
+        store.on_change(key, entry)
     assert store.get(4711) is None
 
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -11,7 +11,7 @@
 from passrock.core.inventory import DELETED_NAMES_KEPT, MachineInventory
 from passrock.core.machine_health import MachineHealth
 from passrock.io.http_server import Request
-from passrock.io.state import Refused
+from passrock.io.state import TransactionConflict
 from passrock.wire.state import Put
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
@@ -51,7 +51,7 @@
 
     cluster, most, changed_at, late = virtual_time.run(main())
     assert most == 1 and changed_at < cluster.limits["lease_s"] / 2
-    assert isinstance(late, Refused) and late.failed == ("p/lead",)
+    assert isinstance(late, TransactionConflict) and late.conflicting_keys == ("p/lead",)
     assert cluster.checker.broken == []
 
 
