--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -44,8 +44,8 @@
         """The cost in seconds of placing a task of the job on the machine."""
         spec = job.spec
         free_share = (self.capacity.on(machine) - spec.resources).dominant_share(machine.type.size)
-        fetch_harm = machine.image_fetch_interference(spec)
-        cost = machine.image_fetch_time(spec) + fetch_harm + FREE_SHARE_COST * free_share
+        interference = machine.image_fetch_interference(spec)
+        cost = machine.image_fetch_time(spec) + interference + FREE_SHARE_COST * free_share
         team = self.assignments.get(machine.name)
         if team is not None and team != spec.team:
             cost += OTHER_RESERVATION_COST
@@ -58,7 +58,7 @@
             # gang of whole machines and is paid for until the last replica ends. But where a replica is still
             # fetching another image, both would be late.
             occupied = self.job_table.attempts_by_machine.get(machine.name)
-            cost += fetch_harm if occupied else FRAGMENTATION_COST * free_share
+            cost += interference if occupied else FRAGMENTATION_COST * free_share
         return cost
 
     def candidates(self, job: Job, zone: str | None, now: float) -> list[Machine]:
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -122,12 +122,12 @@
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
-            fetch_wait_s = machine.image_fetch_time(spec)
-            if fetch_wait_s > max_image_fetch_s:
+            image_fetch_s = machine.image_fetch_time(spec)
+            if image_fetch_s > max_image_fetch_s:
                 continue
             choice = self._choose_victims(job, machine, now, elastic_only=elastic_only)
             if choice is not None:
-                options.append(PlannedMachine(machine, choice.victims, choice.loss_s + fetch_wait_s))
+                options.append(PlannedMachine(machine, choice.victims, choice.loss_s + image_fetch_s))
         return sorted(options, key=PlannedMachine.sort_key)
 
     def _choose_victims(self, job: Job, machine: Machine, now: float, *, elastic_only: bool) -> VictimChoice | None:
--- a/src/passrock/core/zone_constraint.py
+++ b/src/passrock/core/zone_constraint.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 from passrock.core.inventory import MachineInventory
-from passrock.core.job import Job
+from passrock.core.job import UNKNOWN_ZONE, Job
 from passrock.core.model import JobSpec
 
-UNKNOWN_ZONE = "?"  # what Job.zone_counts says of a machine that isn't in the inventory
-
 
 class ZoneConstraint:
     """Counts a job's tasks by zone, as far as the job is bound to one zone or spread over several."""
