--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -101,10 +101,10 @@
             machine.incarnation, machine.sequence = report.incarnation, report.sequence - 1
         return observe(self, report, kind, now)
 
-    def settle(self, machine, report, now, launch):
+    def settle(self, machine, report, now, *, may_launch):
         for attempt in self.job_table.attempts_on(machine.name):
             attempt.launch_sequence = None if attempt.launch_sequence is None else -1
-        return handle(self, machine, report, now, launch)
+        return handle(self, machine, report, now, may_launch=may_launch)
 
     monkeypatch.setattr(MachineInventory, "observe", believe)
     monkeypatch.setattr(Reconciler, "handle", settle)
