--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -45,7 +45,7 @@
         self._last_check = now
         self._note_starts(today)
         self.waits = self.watch.look(self._waiting(scheduler, now))
-        prioritized = self.watch.favoured(
+        prioritized = self.watch.prioritized(
             self.waits, today, max(1, len(scheduler.capacity.schedulable) // MACHINES_PER_PRIORITIZED_FLOW)
         )
         under_way = {flow_of(attempt.job) for attempt in self._placed}
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -16,7 +16,8 @@
 from passrock.core.job_table import JobTable
 from passrock.core.records import ATTEMPT_BYTES, CancellationRecord, FinalRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
+from passrock.io.errors import StoreError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 
 RETRY_S = 0.2
@@ -38,7 +39,7 @@
 
     def __init__(
         self,
-        state: StateClient,
+        state: KeyValueStoreClient,
         job_table: JobTable,
         leader_revision: int,
         txn_ops: int,
@@ -89,7 +90,7 @@
         least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
         reserve = min(max(SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
-        while (left := budget.left(monotonic_time()) - reserve) < least:
+        while (left := budget.available(monotonic_time()) - reserve) < least:
             now = monotonic_time()
             if now >= turn:
                 return self.txn_ops
@@ -133,7 +134,7 @@
         except UnknownOutcomeError:
             self.orphaned_keys += transaction.orphaned_keys
             return await self._refresh_revisions(transaction)
-        except StateError as problem:
+        except StoreError as problem:
             debug("commit_failed", error=problem)
             self.orphaned_keys += transaction.orphaned_keys
             return False
@@ -141,7 +142,7 @@
             self._committed(transaction, result.revision)
             return True
         self.orphaned_keys += transaction.orphaned_keys
-        if keys.LEADER in result.failed:
+        if keys.LEADER in result.conflicting_keys:
             self.on_leadership_lost()
             return False
         return await self._refresh_revisions(transaction)
@@ -181,7 +182,7 @@
                 write.page.mod_revision = await self._revision(keys.task_page(write.job.spec.id, write.number))
             for finalization in transaction.finalizations:
                 await self._refresh_finalization(finalization.job)
-        except StateError:
+        except StoreError:
             return False
         return True
 
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -95,7 +95,7 @@
         self._notice_own_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.clear_cancelled(now)  # the time for these runs on through an outage
+                self.failure_detector.delete_with_cancelled_tasks(now)  # the time for these runs on through an outage
             return
         self.fence.check()
         planning = now >= self._plan_due
@@ -114,7 +114,7 @@
     def _notice_own_pause(self, now: float) -> None:
         """If this process stood still, missing heartbeats in that time prove nothing."""
         if now - self._last_evaluation > self.settings.report_s:
-            self.inventory.began = now
+            self.inventory.health.observing_since = now
         self._last_evaluation = now
 
     def _schedule(self, now: float) -> None:
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -10,11 +10,12 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.core.graceful_stop import drain_machine
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.messages import Command, WorkerHeartbeat
 from passrock.core.reconciler import Reconciler, ReconciliationResult
-from passrock.core.scaling import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.logs import info
 from passrock.settings import Settings
@@ -59,7 +60,7 @@
         if machine_type is None:
             return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
         known = self.inventory.machines.get(heartbeat.machine)
-        was_usable = known is not None and known.up and known.confirmed
+        was_usable = known is not None and known.heartbeat_received and known.acknowledged_term
         machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
             return None  # a late copy, or of a machine that is deleted: an answer could only renew by mistake
@@ -72,10 +73,10 @@
             self.commit_queue.wake.set()
         if machine.deleting:
             return None  # its deletion may take long: unanswered, its lease ends as well
-        machine.answered = now
-        if machine.notice_until is not None:
+        machine.last_answer_at = now
+        if machine.reclaim_at is not None:
             drain_machine(self.job_table, machine.name)
-        if machine.confirmed and not was_usable:
+        if machine.acknowledged_term and not was_usable:
             self._machine_registered(machine)
         if result.changed or self._awaits_launch(machine):
             return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
@@ -109,7 +110,7 @@
             return None
         if self.renewal.may_launch():
             commands += self.reconciler.late_launches(machine, heartbeat)
-        machine.answered = monotonic_time()
+        machine.last_answer_at = monotonic_time()
         return commands
 
 
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -12,7 +12,7 @@
 from passrock.core.cancellations import CancellationLog
 from passrock.core.records import CANCELLED, DONE, tasks_per_page
 from passrock.io.clock import monotonic_time
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
 
 FENCE_TRIES = 3
@@ -35,7 +35,7 @@
     """Linearizable reads of jobs: from the replica behind a read fence, or else from the store itself."""
 
     def __init__(
-        self, settings: Settings, state: StateClient, replica: Replica, cancellations: CancellationLog
+        self, settings: Settings, state: KeyValueStoreClient, replica: Replica, cancellations: CancellationLog
     ) -> None:
         self.state = state
         self.replica = replica
@@ -52,7 +52,7 @@
 
         Raises:
             UnavailableError: the store is down, so that nothing can be proved.
-            StateError: a read of the store failed.
+            StoreError: a read of the store failed.
         """
         final = self._cached_final(job_id)
         if final is not None:
@@ -67,7 +67,7 @@
         for _ in range(FENCE_TRIES):
             if await self.fence.wait():
                 return self._from_replica(job_id)
-            if self.state.down(monotonic_time(), 0.0):
+            if self.state.is_unavailable(monotonic_time(), 0.0):
                 raise UnavailableError("the state service is down")
         return await self._read_unfinished(job_id)
 
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -23,15 +23,16 @@
 from passrock.core.cancellations import CancellationLog
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
+from passrock.core.machine_catalog import MachineCatalog
+from passrock.core.machine_health import MachineHealth
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.preemption import Preemption
 from passrock.core.records import tasks_per_page
-from passrock.core.scaling import MachineCatalog
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.peers import PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import error, info
 from passrock.settings import Settings
 
@@ -45,7 +46,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         replica: Replica,
         cancellations: CancellationLog,
@@ -72,13 +73,10 @@
 
     def _build_tables(self, settings: Settings) -> None:
         self.job_table = JobTable(tasks_per_page(settings.value_bytes))
-        self.inventory = MachineInventory(
-            settings.report_s,
-            settings.lease_s,
-            settings.operator.silent_ratio,
-            monotonic_time(),
-            self.leadership.term,
+        health = MachineHealth(
+            settings.report_s, settings.lease_s, settings.operator.silent_ratio, observing_since=monotonic_time()
         )
+        self.inventory = MachineInventory(health, self.leadership.term)
         self.assignments: dict[str, str] = {}  # machine -> team, as binding rounds leave them
         self.evaluations = Evaluations()
 
@@ -89,7 +87,7 @@
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
-    def _build_actions(self, settings: Settings, state: StateClient, cloud: CloudClient) -> None:
+    def _build_actions(self, settings: Settings, state: KeyValueStoreClient, cloud: CloudClient) -> None:
         leadership = self.leadership
         self.commit_queue = CommitQueue(
             state,
@@ -100,14 +98,30 @@
             on_committed=self.evaluations.note_progress,
             on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
-        self.provisioner = Provisioner(settings, state, cloud, self.catalog, self.inventory, leadership)
+        self.provisioner = Provisioner(
+            settings,
+            state,
+            cloud,
+            self.catalog,
+            self.inventory,
+            leadership,
+            on_machine_lost=self._machine_lost,
+            on_change=self.evaluations.request,
+        )
         self.rounds = BindingRounds(
             settings, state, leadership, self.job_table, self.inventory, self.catalog, self.scheduler
         )
 
     def _build_loops(self, settings: Settings) -> None:
         self.failure_detector = FailureDetector(
-            settings, self.job_table, self.inventory, self.leadership, self.fence, self.peers, self.provisioner
+            settings,
+            self.job_table,
+            self.inventory,
+            self.leadership,
+            self.fence,
+            self.peers,
+            self.provisioner,
+            on_machine_lost=self._machine_lost,
         )
         autoscaler = Autoscaler(
             settings, self.job_table, self.inventory, self.catalog, self.scheduler, self.preemption, self.provisioner
@@ -136,8 +150,6 @@
             self.evaluations,
             plan_now=self.evaluation_loop.plan_now,
         )
-        self.provisioner.on_machine_lost = self.state_events.machine_lost
-        self.provisioner.on_change = self.evaluations.request
         self.heartbeat_handler = HeartbeatHandler(
             settings,
             self.leadership,
@@ -168,6 +180,9 @@
         if self.ready:
             self.state_events.cancelled(job_id, at)
 
+    def _machine_lost(self, name: str) -> None:
+        self.state_events.machine_lost(name)
+
     async def _resign_on_failure(self, work: Awaitable[None]) -> None:
         """A term that can't go on must not pretend to lead."""
         try:
@@ -187,9 +202,13 @@
         self._load()
         self.tasks += [
             asyncio.ensure_future(self._resign_on_failure(work))
-            for work in (self.commit_queue.run(), self.provisioner.list_machines(), self.provisioner.deletions())
+            for work in (
+                self.commit_queue.run(),
+                self.provisioner.poll_machine_list(),
+                self.provisioner.run_deletions(),
+            )
         ]
-        self.provisioner.resume(self.replica.with_prefix(keys.INTENT))
+        self.provisioner.resume_requests(self.replica.with_prefix(keys.INTENT))
         await self.evaluation_loop.run()
 
     def _load(self) -> None:
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -9,10 +9,11 @@
 from passrock.controller import keys
 from passrock.controller.replica import Replica
 from passrock.core.instants import NEVER
-from passrock.core.inventory import DRIFT
+from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
 from passrock.io.clock import monotonic_time
+from passrock.io.errors import LeaseExpiredError, StoreError, UnknownOutcomeError
 from passrock.io.peer_messages import PeerHeartbeat
-from passrock.io.state import Committed, LeaseEndedError, StateClient, StateError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
 from passrock.wire.state import Entry, Put, Write
@@ -40,7 +41,7 @@
         incarnation: tells this process of the node from its former ones.
     """
 
-    def __init__(self, settings: Settings, state: StateClient, replica: Replica, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, state: KeyValueStoreClient, replica: Replica, rng: random.Random) -> None:
         self.settings = settings
         self.state = state
         self.replica = replica
@@ -108,7 +109,7 @@
     async def _revoke_lease(self, lease_id: int) -> None:
         try:
             await self.state.end_lease(lease_id)
-        except StateError as problem:
+        except StoreError as problem:
             info("leader_lease_revocation_failed", error=problem)  # it expires by itself
 
     def _notify(self) -> None:
@@ -127,7 +128,7 @@
                 else:
                     await self._campaign_if_free()
                     await asyncio.sleep(self.lease_ttl_s / CAMPAIGN_CHECKS_PER_LEASE)
-            except StateError:
+            except StoreError:
                 await asyncio.sleep(self.lease_ttl_s / RETRIES_PER_LEASE)
 
     async def _renew_lease(self) -> None:
@@ -135,7 +136,7 @@
         timeout = self.lease_ttl_s / RENEWAL_TIMEOUTS_PER_LEASE
         try:
             await self.state.renew(self._lease_id, timeout=timeout)
-        except LeaseEndedError:
+        except LeaseExpiredError:
             self.step_down("lease ended")
             return
         if started >= self.lease_deadline:  # the lease may have expired meanwhile: make sure that the key is ours
@@ -148,7 +149,7 @@
 
     def _deadline(self, started: float) -> float:
         """Until when a lease that was granted or renewed by a request sent at ``started`` lives by any clock."""
-        return started + self.lease_ttl_s / DRIFT
+        return started + self.lease_ttl_s / CLOCK_DRIFT_FACTOR
 
     async def _campaign_if_free(self) -> None:
         if not self.replica.loaded or monotonic_time() < self._campaign_not_before:
--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -8,7 +8,7 @@
 from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.io.clock import monotonic_time
 from passrock.io.peer_messages import PeerHeartbeat
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 
 
 class LocalHeartbeat:
@@ -18,7 +18,7 @@
         self,
         node: str,
         leadership: Leadership,
-        state: StateClient,
+        state: KeyValueStoreClient,
         replica: Replica,
         renewal: RenewalPolicy,
         redirects: WorkerRedirects,
@@ -37,7 +37,7 @@
             node=self.node,
             term=self.leadership.known_term,
             leading=self.leadership.leading,
-            store_down=self.state.down(now, self.renewal.store_down_after_s),
+            store_down=self.state.is_unavailable(now, self.renewal.store_down_after_s),
             replica_loaded=self.replica.loaded,
             redirected_workers=self.redirects.recent_count(now),
             incarnation=self.leadership.incarnation,
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Awaitable, Sequence
+from collections.abc import Sequence
 from functools import partial
 from typing import TYPE_CHECKING
 
@@ -19,15 +19,14 @@
 from passrock.controller.request_router import RequestRouter
 from passrock.controller.user_api import UserApi
 from passrock.controller.worker_redirects import WorkerRedirects
-from passrock.core.budget import rate_share
 from passrock.core.cancellations import CancellationLog
-from passrock.core.scaling import MachineCatalog
+from passrock.core.machine_catalog import MachineCatalog
+from passrock.core.token_bucket import rate_share
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
-from passrock.io.http_server import Request, Response
 from passrock.io.peer_link import Link
 from passrock.io.peers import PeerExchange, PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
 from passrock.wire.state import Entry
 
@@ -47,7 +46,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         cloud: CloudClient,
         links: Sequence[Link],
         rng: random.Random,
@@ -76,19 +75,16 @@
             [] if self.admission is None else [self.admission],
         )
         self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog, self.admission)
-        self.router = RequestRouter(
+        router = RequestRouter(
             HeartbeatEndpoint(
                 self.leadership, self.renewal, self.redirects, self.cancellations, lambda: self.leader_term
             ),
             HealthCheck(settings, state, self.replica, self.catalog, self.peer_table),
             self.user_api,
         )
+        self.handle = router.handle  # answers requests that come to the client address
         self._share_rates(leading=False)
 
-    def handle(self, request: Request) -> Response | Awaitable[Response]:
-        """Answer a request that came to the client address."""
-        return self.router.handle(request)
-
     async def work(self) -> None:
         """Run everything but the listening sockets, until cancelled."""
         settings = self.settings
@@ -115,7 +111,7 @@
 
     def _share_rates(self, *, leading: bool) -> None:
         """The leader needs most of the store's rates; the others share the rest."""
-        share = rate_share(leading, self.settings.nodes)
+        share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
             (self.state.requests, self.settings.state_rps),
             (self.state.writes, self.settings.state_write_rps),
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -8,14 +8,14 @@
 
 from passrock import __version__
 from passrock.controller.node import STATE_CONNECTIONS, Node
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer
 from passrock.io.peer_link import PeerLink
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.logs import info, start_logging
-from passrock.settings import Settings, warnings
+from passrock.settings import Settings, resource_warnings
 
 WATCH_CONNECTIONS = 2
 CLOUD_CONNECTIONS = 4
@@ -27,15 +27,15 @@
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
     """A node with real clients."""
-    state = StateClient(
+    state = KeyValueStoreClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
-        Budget(settings.state_rps, settings.state_rps),
-        Budget(settings.state_write_rps, settings.state_write_rps),
+        TokenBucket(settings.state_rps, settings.state_rps),
+        TokenBucket(settings.state_write_rps, settings.state_write_rps),
     )
     cloud = CloudClient(
         HttpClient(settings.cloud, CLOUD_CONNECTIONS),
-        Budget(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
+        TokenBucket(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
     )
     return Node(settings, state, cloud, [PeerLink(peer) for peer in settings.peers], rng)
 
@@ -43,10 +43,15 @@
 async def run_node(node: Node) -> None:
     """Listen and work until cancelled."""
     settings = node.settings
-    server = HttpServer(node.handle, node.sockets, IDLE_TIMEOUT_S, settings.report_s * HEAD_TIMEOUT)
+    server = HttpServer(
+        node.handle,
+        node.sockets,
+        idle_timeout_s=IDLE_TIMEOUT_S,
+        head_timeout_s=settings.report_s * HEAD_TIMEOUT,
+    )
     listening = await server.start(settings.client_listen.host, settings.client_listen.port)
     peer_listening = await node.peers.listen(settings.peer_listen)
-    for warning in warnings(settings):
+    for warning in resource_warnings(settings):
         info("settings_warning", warning=warning)
     info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
     _tune_garbage_collection()
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -7,6 +7,7 @@
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import CancellationLog
+from passrock.core.image_hints import decode_image_hints
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.records import CancellationRecord, JobRecord, TaskPageRecord, decode_record
@@ -30,7 +31,7 @@
         for entry in replica.with_prefix(prefix):
             rounds.load(entry)
     for entry in replica.with_prefix(keys.HINT):
-        inventory.load_hints(entry.value)
+        inventory.load_image_hints(decode_image_hints(entry.value))
 
 
 def _load_jobs(replica: Replica, job_table: JobTable) -> None:
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -6,20 +6,21 @@
 from collections.abc import Awaitable
 
 from passrock.controller import keys
-from passrock.controller.intake import IntakeGate, Refusal
+from passrock.controller.intake import AdmissionController, Refusal
 from passrock.controller.job_lookup import JobLookup, UnavailableError
 from passrock.controller.read_fence import READ_WAIT_S
 from passrock.controller.replica import Replica
 from passrock.controller.request_limits import limited, measured, refuse, request_limiter
-from passrock.controller.submissions import PermitLapsedError, Submitter
+from passrock.controller.submissions import AdmissionTokenExpiredError, Submitter
 from passrock.core.cancellations import CancellationLog
+from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
-from passrock.core.records import CANCELLED, DONE, Permit, fits_record
-from passrock.core.scaling import MachineCatalog
+from passrock.core.records import CANCELLED, DONE, AdmissionToken, fits_record
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
+from passrock.io.errors import StoreError, UnknownOutcomeError
 from passrock.io.http_server import Request, Response
-from passrock.io.state import Committed, StateClient, StateError, UnknownOutcomeError
+from passrock.io.state import Committed, KeyValueStoreClient
 from passrock.settings import Settings
 from passrock.wire import users as wire
 from passrock.wire.cbor import MalformedBodyError
@@ -37,19 +38,19 @@
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
+        state: KeyValueStoreClient,
         replica: Replica,
         cancellations: CancellationLog,
         catalog: MachineCatalog,
-        gate: IntakeGate | None = None,
+        admission_controller: AdmissionController | None = None,
     ) -> None:
-        """``gate`` decides on submissions where fair admission is switched on."""
+        """``admission_controller`` decides on submissions where fair admission is switched on."""
         self.settings = settings
         self.state = state
         self.replica = replica
         self.cancellations = cancellations  # a cancelled job stands there before its user is told
         self.catalog = catalog
-        self.gate = gate
+        self.admission_controller = admission_controller
         slack_s = settings.report_s / 10
         # the wait for a shared read is no sign of a queue
         self.read_limiter = request_limiter(settings, slack_s + READ_WAIT_S)
@@ -102,16 +103,18 @@
         is_known = self.lookup.is_known(spec.id)
         if reason is not None and not is_known:
             return Response(422, wire.error_answer(reason))
-        if self.state.writes.wait(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
+        if self.state.writes.time_until_available(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
             return refuse(self.write_limiter, 429)
-        if self.gate is None or is_known:
+        if self.admission_controller is None or is_known:
             return limited(self.write_limiter, self._submit(spec, None))
-        return self._admit_through(self.gate, spec)
+        return self._admit_through(self.admission_controller, spec)
 
-    def _admit_through(self, gate: IntakeGate, spec: JobSpec) -> Response | Awaitable[Response]:
+    def _admit_through(
+        self, admission_controller: AdmissionController, spec: JobSpec
+    ) -> Response | Awaitable[Response]:
         if self.write_limiter.is_full():
-            return refuse(self.write_limiter, 429)  # before a permit is spent
-        decision = gate.decide(spec)
+            return refuse(self.write_limiter, 429)  # before a grant is consumed
+        decision = admission_controller.decide(spec)
         if isinstance(decision, Refusal):
             return self._refuse_unless_known(spec, decision)
         return limited(self.write_limiter, self._submit(spec, decision))
@@ -124,40 +127,43 @@
         refused = Response(
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
-        if self.state.requests.spare(monotonic_time()) < RETRY_LOOKUP_SPARE or not self.read_limiter.enter():
+        if (
+            self.state.requests.available_fraction(monotonic_time()) < RETRY_LOOKUP_SPARE
+            or not self.read_limiter.try_acquire()
+        ):
             return refused
         return measured(self.read_limiter, self._state_or(spec.id, refused))
 
     async def _state_or(self, job_id: str, refused: Response) -> Response:
         try:
             known = await self.lookup.find(job_id)
-        except (StateError, UnavailableError):
+        except (StoreError, UnavailableError):
             return refused
         return refused if known is None else Response(200, wire.brief_answer(job_id, known.status))
 
-    async def _submit(self, spec: JobSpec, permit: Permit | None) -> Response:
+    async def _submit(self, spec: JobSpec, admission_token: AdmissionToken | None) -> Response:
         """Commit a submission; one that is known already, or may have been committed, gets the job's state."""
-        permit_unused = False
+        grant_unused = False
         try:
             async with asyncio.timeout(SUBMIT_TIMEOUT_S):
                 try:
-                    if await self.submitter.submit(spec, permit):
+                    if await self.submitter.submit(spec, admission_token):
                         return Response(201, wire.brief_answer(spec.id, "queued"))
-                    permit_unused = True
+                    grant_unused = True
                 except UnknownOutcomeError:
                     pass  # it may have been accepted: read before answering
-                except PermitLapsedError:
-                    permit_unused = True
+                except AdmissionTokenExpiredError:
+                    grant_unused = True
                     return refuse(self.write_limiter, 429)
-                except StateError:
-                    permit_unused = True
+                except StoreError:
+                    grant_unused = True
                     raise
                 known = await self.lookup.find(spec.id)
         except TimeoutError:
             return refuse(self.write_limiter, 503)
         finally:
-            if permit is not None and self.gate is not None:
-                self.gate.concluded(spec, permit_unused)
+            if admission_token is not None and self.admission_controller is not None:
+                self.admission_controller.request_finished(spec, grant_unused)
         if known is None:
             return refuse(self.write_limiter, 503)
         return Response(200, wire.brief_answer(spec.id, known.status))
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -5,11 +5,11 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
-from passrock.core.inventory import silence_limit
 from passrock.core.lost_workers import LostWorkers
+from passrock.core.machine_health import unresponsive_after
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
-from passrock.io.state import StateClient
+from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
 
 
@@ -17,7 +17,12 @@
     """Names the leader to workers, or another follower to those that have just lost it."""
 
     def __init__(
-        self, settings: Settings, leadership: Leadership, state: StateClient, replica: Replica, peers: PeerTable
+        self,
+        settings: Settings,
+        leadership: Leadership,
+        state: KeyValueStoreClient,
+        replica: Replica,
+        peers: PeerTable,
     ) -> None:
         self.node = settings.node
         self.leadership = leadership
@@ -27,7 +32,7 @@
         self.lost_workers = LostWorkers(
             settings.report_s,
             settings.lease_s,
-            silence_limit(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
+            unresponsive_after(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
         )
 
     def target(self, machine: str, token: int) -> str | None:
@@ -58,7 +63,7 @@
         if leading:
             return max(leading, key=lambda heartbeat: heartbeat.term).node
         entry = self.replica.get(keys.LEADER)
-        if entry is None or not isinstance(entry.value, dict) or self.state.down(now, lease_ttl_s):
+        if entry is None or not isinstance(entry.value, dict) or self.state.is_unavailable(now, lease_ttl_s):
             return None
         node, term = entry.value.get("node"), entry.value.get("term")
         if not isinstance(node, str) or not isinstance(term, int) or term < known_term:
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from passrock.core.instants import NEVER
-from passrock.core.inventory import DRIFT
+from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
 
 
 def renewal_horizon(cancel_s: float, lease_s: float, report_s: float) -> float:
@@ -24,7 +24,7 @@
     The lease expires at the latest ``lease_s`` after the renewal by any clock, and the tasks end with it; a
     heartbeat interval is left for the worker to notice. All must be over within ``cancel_s`` of the confirmation.
     """
-    return (cancel_s - lease_s * DRIFT - report_s) / DRIFT
+    return (cancel_s - lease_s * CLOCK_DRIFT_FACTOR - report_s) / CLOCK_DRIFT_FACTOR
 
 
 class LogSlice(NamedTuple):
--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from passrock.core.free_capacity import FreeCapacity
-from passrock.core.inventory import Machine
 from passrock.core.job import TaskAttempt
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
 from passrock.core.model import JobKind, Resources
 
 OPEN_ENDED_S = 3600.0  # for what ends when its user says so: services, and orphans that nobody has an estimate for
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -5,9 +5,9 @@
 from heapq import heapify, heappush
 
 from passrock.core.free_capacity import FreeCapacity
-from passrock.core.inventory import Machine
 from passrock.core.job import Job
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
 from passrock.core.machine_holds import MachineHolds
 from passrock.core.model import JobKind, JobSpec
 from passrock.core.objectives import ServiceLevelObjectives
@@ -44,8 +44,8 @@
         """The cost in seconds of placing a task of the job on the machine."""
         spec = job.spec
         free_share = (self.capacity.on(machine) - spec.resources).dominant_share(machine.type.size)
-        fetch_harm = machine.fetch_harm(spec)
-        cost = machine.fetch_wait(spec) + fetch_harm + FREE_SHARE_COST * free_share
+        fetch_harm = machine.image_fetch_interference(spec)
+        cost = machine.image_fetch_time(spec) + fetch_harm + FREE_SHARE_COST * free_share
         team = self.assignments.get(machine.name)
         if team is not None and team != spec.team:
             cost += OTHER_RESERVATION_COST
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -4,9 +4,10 @@
 
 import msgspec
 
-from passrock.core.inventory import Machine, MachineInventory
+from passrock.core.inventory import MachineInventory
 from passrock.core.job import TaskAttempt, TaskKey
 from passrock.core.job_table import JobTable
+from passrock.core.machine import Machine
 from passrock.core.messages import Command, CommandKind, ExitReason, TaskState, TaskStatus, WorkerHeartbeat
 from passrock.core.model import ZERO_RESOURCES, Resources
 from passrock.core.task_exits import record_exit
@@ -129,7 +130,7 @@
         machine = evidence.machine
         if not attempt.reported:
             attempt.reported = True
-            machine.unheeded = 0
+            machine.unacknowledged_answers = 0
         if attempt.state is not task.state:
             result.changed = True
             attempt.state = task.state
@@ -137,7 +138,7 @@
                 attempt.running_since = evidence.now
                 result.started.append(attempt)
         if task.state is not TaskState.FETCHING:
-            machine.fetched(attempt.job.spec)
+            machine.record_image_fetched(attempt.job.spec)
 
     # -- what the heartbeat doesn't list ----------------------------------------------------
 
@@ -158,7 +159,7 @@
             if attempt.state is None:
                 fetching.setdefault(attempt.job.spec.image, attempt.job.spec.image_gb)
         if launch_unacknowledged:
-            evidence.machine.ignored(evidence.now)
+            evidence.machine.record_unacknowledged_answer(evidence.now)
 
     def _reconcile_absent(self, attempt: TaskAttempt, evidence: _Evidence, result: ReconciliationResult) -> bool:
         """Launch or lose a recorded attempt that the heartbeat doesn't list.
@@ -228,7 +229,7 @@
 
 def _is_unwanted(attempt: TaskAttempt, machine: Machine) -> bool:
     """Whether the attempt must not be launched: its job is cancelled, or its machine is about to go."""
-    return attempt.job.cancelled or machine.notice_until is not None or machine.deleting
+    return attempt.job.cancelled or machine.reclaim_at is not None or machine.deleting
 
 
 def _stop_command(attempt: TaskAttempt, task: TaskStatus) -> Command | None:
--- a/src/passrock/core/starvation_holds.py
+++ b/src/passrock/core/starvation_holds.py
@@ -8,9 +8,9 @@
 
 from passrock.core.capacity_forecast import CapacityForecast
 from passrock.core.free_capacity import FreeCapacity
-from passrock.core.inventory import Machine
 from passrock.core.job import Job
 from passrock.core.job_queue import JobQueue
+from passrock.core.machine import Machine
 from passrock.core.machine_holds import MachineHolds
 from passrock.core.model import JobKind
 from passrock.core.objectives import ServiceLevelObjectives
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from passrock.controller.node import Node
-from passrock.core.budget import Budget
+from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
-from passrock.io.http_client import NoAnswerError
+from passrock.io.errors import NoAnswerError
 from passrock.io.http_server import Response
 from passrock.io.peer_link import PeerAnswer
-from passrock.io.state import StateClient
-from passrock.settings import Operator, parse_settings
+from passrock.io.state import KeyValueStoreClient
+from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
 from standins.deployment import node_table
 
@@ -107,18 +107,18 @@
         )
         table["deployment"]["objectives"] = list(cluster.objectives)
         table["deployment"]["state"]["write_rps"] = cluster.write_rps
-        settings = parse_settings(table, Operator(), faults)
+        settings = parse_settings(table, OperatorSettings(), faults)
         settings = msgspec.structs.replace(settings, admission=cluster.admission[number])
         assert not faults, faults
         self.zone = settings.zone
         rng = random.Random(cluster.rng.random())
-        state = StateClient(
+        state = KeyValueStoreClient(
             ServiceLink(cluster, self, cluster.state, True),
             ServiceLink(cluster, self, cluster.state, True),
-            Budget(100.0, 100.0),
-            Budget(40.0, 40.0),
+            TokenBucket(100.0, 100.0),
+            TokenBucket(40.0, 40.0),
         )
-        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), Budget(5.0, 6.0))
+        cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, state, cloud, links, rng)
         self.work = self.context.run(asyncio.ensure_future, self.node.work())
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -68,7 +68,7 @@
     """They took ordinary machines for minutes, and gangs that may use no others waited beside free spot instances."""
     harness = SchedulerHarness([("on-demand", "a", False), ("spot", "a", True)])
     if machine == "on-demand" or now:
-        harness.inventory.machines["spot"].notice_until = 1.0
+        harness.inventory.machines["spot"].reclaim_at = 1.0
     harness.job(1, allows_spot=True, **fields)
     harness.refresh(now)
     placed = [name for _, _, name in harness.run(now)]
@@ -90,7 +90,7 @@
     assert harness.run() == [("wk-1", 0, "m1")]
     harness.job(2, image="two", image_gb=20.0, team="t1")
     assert harness.run() == [("wk-2", 0, "m2")]
-    assert harness.inventory.machines["m1"].fetch_harm(spec(3, image="one")) == 0.0
+    assert harness.inventory.machines["m1"].image_fetch_interference(spec(3, image="one")) == 0.0
 
 
 def test_an_objective_that_the_fetch_would_miss_does_not_count():
