--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -13,7 +13,7 @@
 from standins.simulated_cluster import SimulatedCluster
 
 
-def run_scenario(seed, duration=240.0, jobs=16, gap=12.0, **cluster):
+def simulate(seed, duration=240.0, jobs=16, gap=12.0, **cluster):
     """One day; the checker and how many users saw their job end."""
 
     async def main():
@@ -25,7 +25,7 @@
 
 
 def test_quiet_day_serves_everyone():
-    checker, done = run_scenario(1, gap=float("inf"))
+    checker, done = simulate(1, gap=float("inf"))
     assert checker.broken == []
     assert done == 16
 
@@ -39,7 +39,7 @@
     + [(seed, {"freezes": True, "late": 0.03, "copies": 0.05}) for seed in range(90, 96)],
 )
 def test_rules_hold_on_days_of_faults(seed, cluster):
-    checker, done = run_scenario(seed, **cluster)
+    checker, done = simulate(seed, **cluster)
     assert checker.broken == []
     assert checker.starts > 0
     assert done >= 8  # most users are served all the same
@@ -68,7 +68,7 @@
 
 
 def test_a_day_replays_exactly():
-    first, second = run_scenario(42, duration=120.0), run_scenario(42, duration=120.0)
+    first, second = simulate(42, duration=120.0), simulate(42, duration=120.0)
     assert (first[0].starts, first[0].confirmed, first[1]) == (second[0].starts, second[0].confirmed, second[1])
 
 
@@ -77,7 +77,7 @@
     monkeypatch.setattr(
         MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
     )
-    rules = {rule for seed in range(50, 56) for _, rule, _ in run_scenario(seed, gap=6.0)[0].broken}
+    rules = {rule for seed in range(50, 56) for _, rule, _ in simulate(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
 
 
@@ -92,7 +92,7 @@
         )
 
     monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
-    days = (run_scenario(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
+    days = (simulate(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
@@ -106,14 +106,14 @@
             machine.incarnation, machine.sequence = report.incarnation, report.sequence - 1
         return observe(self, report, kind, now)
 
-    def settle(self, machine, report, now, launch):
+    def settle(self, machine, report, now, *, may_launch):
         for attempt in self.job_table.attempts_on(machine.name):
             attempt.launch_sequence = None if attempt.launch_sequence is None else -1
-        return handle(self, machine, report, now, launch)
+        return handle(self, machine, report, now, may_launch=may_launch)
 
     monkeypatch.setattr(MachineInventory, "observe", believe)
     monkeypatch.setattr(Reconciler, "handle", settle)
-    days = (run_scenario(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
+    days = (simulate(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
