--- a/src/passrock/settings/__init__.py
+++ b/src/passrock/settings/__init__.py
@@ -7,8 +7,8 @@
 
 from passrock.settings.checks import resource_warnings
 from passrock.settings.faults import SettingsError
-from passrock.settings.files import FilePath, read_settings
-from passrock.settings.model import Address, OperatorSettings, Peer, Settings
+from passrock.settings.files import read_settings
+from passrock.settings.model import Address, FilePath, OperatorSettings, Peer, Settings
 from passrock.settings.platform_file import parse_settings
 
 __all__ = [
--- a/src/passrock/settings/files.py
+++ b/src/passrock/settings/files.py
@@ -9,8 +9,8 @@
 
 from passrock.settings.checks import unknown_team_faults
 from passrock.settings.faults import SettingsError
-from passrock.settings.model import Settings
-from passrock.settings.operator_files import FilePath, OperatorFiles, read_operator_files
+from passrock.settings.model import FilePath, Settings
+from passrock.settings.operator_files import OperatorFiles, read_operator_files
 from passrock.settings.platform_file import parse_settings
 
 
--- a/src/passrock/settings/model.py
+++ b/src/passrock/settings/model.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import os
 from typing import TYPE_CHECKING
 
 import msgspec
@@ -13,6 +14,9 @@
     from passrock.admission.settings import AdmissionSettings
 
 
+FilePath = str | os.PathLike[str]
+
+
 class Address(msgspec.Struct, frozen=True):
     """An IPv4 address and port."""
 
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -2,19 +2,16 @@
 
 from __future__ import annotations
 
-import os
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-from passrock.settings.model import OperatorSettings
+from passrock.settings.model import FilePath, OperatorSettings
 
 if TYPE_CHECKING:
     from passrock.admission.settings import AdmissionSettings
 
-FilePath = str | os.PathLike[str]
-
 RANGES: dict[str, tuple[float, float]] = {
     "leader_lease_ratio": (0.1, 0.5),
     "silent_ratio": (0.2, 1.0),
