--- a/src/passrock/admission/controller/allocation_store.py
+++ b/src/passrock/admission/controller/allocation_store.py
@@ -11,7 +11,7 @@
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, page_count
 from passrock.controller import keys
 from passrock.logs import error
-from passrock.wire.state import Entry
+from passrock.wire.store import Entry
 
 
 class StoredAllocation(msgspec.Struct, frozen=True):
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -19,10 +19,10 @@
 from passrock.core.token_bucket import rate_share
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import debug, error
 from passrock.settings import Settings
-from passrock.wire.state import Delete, Put, Write
+from passrock.wire.store import Delete, Put, Write
 
 DECIDE_AT = 0.5  # of a slot: from then on the next one is decided
 TOO_LATE = 0.9  # of a slot without an allocation: from then on it isn't worth one
@@ -38,18 +38,18 @@
         self,
         settings: Settings,
         admission: AdmissionSettings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         leadership: Leadership,
-        store: AllocationStore,
+        allocations: AllocationStore,
         outcomes: SlotOutcomes,
         own_demand: Callable[[], DemandReport],
         write_delay: Callable[[], float],
     ) -> None:
         self.settings = settings
         self.admission = admission
-        self.state = state
-        self.leadership = leadership
         self.store = store
+        self.leadership = leadership
+        self.allocations = allocations
         self.outcomes = outcomes
         self.own_demand = own_demand
         self.write_delay = write_delay
@@ -79,7 +79,7 @@
         now = time_of_day()
         slot = self.clock.number(now)
         elapsed = self.clock.elapsed(now)
-        latest = self.store.latest()
+        latest = self.allocations.latest()
         if elapsed >= (TOO_LATE if latest is None or latest.allocation.slot < slot else DECIDE_AT):
             slot += 1
         if latest is None:
@@ -90,7 +90,7 @@
 
     async def decide(self, slot: int) -> None:
         """Allocate a slot and commit it, unless any leader has done so before: what is committed stays."""
-        latest = self.store.latest()
+        latest = self.allocations.latest()
         if latest is not None and not self._resumed:
             self.pacer.share = latest.allocation.pacing_share
             self.watch.resume(latest.allocation.started)
@@ -100,7 +100,7 @@
         self._resumed = True
         self.pacer.record_delay(self.write_delay())
         self.demand.update(self.own_demand(), self.leadership.term, monotonic_time())
-        over = self.store.up_to(slot - SETTLED_AFTER)
+        over = self.allocations.up_to(slot - SETTLED_AFTER)
         allocation = self._allocate(slot, latest, over)
         conditions = {keys.LEADER: self.leadership.leader_revision}
         if latest is not None:
@@ -112,9 +112,9 @@
             writes.append(Put(keys.allocation(slot, page), value))
         self._last_sent = slot
         writes += self._deletions(over, self.settings.txn_ops - len(writes))
-        result = await self.state.commit(conditions, writes)
+        result = await self.store.commit(conditions, writes)
         if isinstance(result, Committed):
-            self.store.put(allocation, result.revision, len(pages))
+            self.allocations.put(allocation, result.revision, len(pages))
         else:
             debug("allocation_conflict", slot=slot, failed=result.conflicting_keys)
 
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -30,10 +30,10 @@
 from passrock.core.records import GRANT_REFERENCE, AdmissionToken
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
-from passrock.wire.state import Entry
+from passrock.wire.store import Entry
 
 if TYPE_CHECKING:
     from passrock.admission.io.decision_log import DecisionLog
@@ -51,7 +51,7 @@
         self,
         settings: Settings,
         admission: AdmissionSettings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         leadership: Leadership,
         peers: PeerTable,
@@ -60,7 +60,7 @@
         self.name = NAME
         self.settings = settings
         self.admission = admission
-        self.state = state
+        self.store = store
         self.leadership = leadership
         self.peers = peers
         self.clock = SlotClock(admission.slot_ratio * settings.report_s)
@@ -73,8 +73,8 @@
         )
         self.incarnation = leadership.incarnation
         self.grants = GrantLedger(settings.node, self.incarnation)
-        self.store = AllocationStore(lambda: replica.entries, on_allocation=self.grants.add)
-        self.admitter = SubmissionAdmitter(self.clock, self.grants, self.store, self.weights, rng)
+        self.allocations = AllocationStore(lambda: replica.entries, on_allocation=self.grants.add)
+        self.admitter = SubmissionAdmitter(self.clock, self.grants, self.allocations, self.weights, rng)
         self.admitted = AdmittedJobs()
         self.demand = DemandTable(DEMAND_KEPT_SLOTS * self.clock.length_s)
         self.dispatch: Dispatch | None = None  # of the latest term that this node led
@@ -99,7 +99,7 @@
 
     def _changed(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.ALLOCATION):
-            self.store.on_change(key, entry)
+            self.allocations.on_change(key, entry)
         elif key.startswith(keys.JOB) and entry is not None:
             self._accepted(key[len(keys.JOB) :], entry)
 
@@ -175,9 +175,9 @@
         allocator = SlotAllocator(
             self.settings,
             admission,
-            self.state,
-            self.leadership,
             self.store,
+            self.leadership,
+            self.allocations,
             outcomes,
             self.report,
             term.commit_queue.estimated_delay_s,
--- a/src/passrock/admission/controller/submission_admitter.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -36,11 +36,16 @@
     """Admits submissions against grants, each job once, and counts the others as demand."""
 
     def __init__(
-        self, clock: SlotClock, grants: GrantLedger, store: AllocationStore, weights: Weights, rng: random.Random
+        self,
+        clock: SlotClock,
+        grants: GrantLedger,
+        allocations: AllocationStore,
+        weights: Weights,
+        rng: random.Random,
     ) -> None:
         self.clock = clock
         self.grants = grants
-        self.store = store
+        self.allocations = allocations
         self.weights = weights
         self.rng = rng
         self.demand = DemandCounter()
@@ -55,7 +60,7 @@
         now = time_of_day()
         slot = self.clock.number(now)
         flow = Flow(spec.team, spec.job_class)
-        stored = self.store.get(slot)
+        stored = self.allocations.get(slot)
         consumed = self.grants.consume(slot, flow, self.weights.is_interactive(flow)) if stored is not None else None
         if stored is None or consumed is None:
             return self._refuse(spec.id, flow, slot, now)
@@ -88,7 +93,7 @@
     def _retry_after_s(self, flow: Flow, slot: int, now: float) -> int:
         """When the flow's queue is likely to have come to this submission, at the rate of its present grant."""
         following = self.clock.until(slot + 1, now)
-        stored = self.store.get(slot)
+        stored = self.allocations.get(slot)
         granted = 0 if stored is None else stored.granted.get(flow, 0)
         waiting = self.demand.waiting(flow)
         ahead = waiting / max(1, granted)
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -11,7 +11,7 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.errors import CloudError, StoreError
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.logs import debug, error
 from passrock.settings import Settings
 
@@ -58,12 +58,12 @@
         error("socket_limit_below_quota", sockets=sockets, machines_guaranteed=machines)
 
 
-async def probe_store(state: KeyValueStoreClient, interval_s: float) -> None:
+async def probe_store(store: KeyValueStoreClient, interval_s: float) -> None:
     """Know whether the key-value store answers, also when nobody asks for anything."""
     while True:
         await asyncio.sleep(interval_s)
-        if monotonic_time() - state.last_success_at > interval_s:
+        if monotonic_time() - store.last_success_at > interval_s:
             try:
-                await state.get(keys.NOWHERE, timeout=interval_s)
+                await store.get(keys.PROBE, timeout=interval_s)
             except StoreError:
                 continue
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -21,10 +21,10 @@
 from passrock.core.scheduler import Scheduler
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import StoreError
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
-from passrock.wire.state import TXN_BYTES, Entry, Put, Write
+from passrock.wire.store import TXN_BYTES, Entry, Put, Write
 
 MIN_ROUND_GAP = 0.25  # of the round interval, between two rounds
 MIN_FREE_WRITES = 0.6  # of the write burst must be available before a round's records are written
@@ -60,7 +60,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         leadership: Leadership,
         job_table: JobTable,
         inventory: MachineInventory,
@@ -68,7 +68,7 @@
         scheduler: Scheduler,
     ) -> None:
         self.settings = settings
-        self.state = state
+        self.store = store
         self.leadership = leadership
         self.job_table = job_table
         self.inventory = inventory
@@ -179,29 +179,29 @@
             for number, page in enumerate(split_into_pages(names, self.settings.value_bytes * MAX_RECORD_FILL)):
                 records[keys.reservation(team, number)] = {"m": page}
         for key in self._stored:
-            if key.startswith(keys.MORE) and key not in records:
+            if key.startswith(keys.RESERVATION_PAGE) and key not in records:
                 records[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
         return records
 
     def _hint_records(self) -> dict[str, Any]:
         max_machines = max(1, self.settings.value_bytes // HINT_BYTES_PER_MACHINE)
         hints = encode_image_hints(self.inventory.machines.values(), max_machines)
-        return {f"{keys.HINT}{number}": record for number, record in enumerate(hints)}
+        return {f"{keys.IMAGE_HINTS}{number}": record for number, record in enumerate(hints)}
 
     async def _write(self, changed: dict[str, Any]) -> None:
         """Write the records that changed, reservations first, with what jobs leave of the write rate.
 
         In a large cluster there are dozens, enough to hold up launches and completions for seconds.
         """
-        pending = sorted(changed, key=lambda key: (key.startswith(keys.HINT), key))
+        pending = sorted(changed, key=lambda key: (key.startswith(keys.IMAGE_HINTS), key))
         while pending:
-            while self.state.writes.available_fraction(monotonic_time()) < MIN_FREE_WRITES:
+            while self.store.writes.available_fraction(monotonic_time()) < MIN_FREE_WRITES:
                 await asyncio.sleep(self.settings.report_s / 4)
             count = self._records_per_commit()
             batch, pending = pending[:count], pending[count:]
             changes: list[Write] = [Put(key, changed[key]) for key in batch]
             try:
-                result = await self.state.commit({keys.LEADER: self.leadership.leader_revision}, changes)
+                result = await self.store.commit({keys.LEADER: self.leadership.leader_revision}, changes)
             except StoreError:
                 return  # the next round writes what still differs
             if not isinstance(result, Committed):
@@ -212,6 +212,6 @@
 
     def _records_per_commit(self) -> int:
         """As many as leave half of the available writes to jobs and fit the limits of a transaction."""
-        by_rate = int(self.state.writes.burst * MIN_FREE_WRITES / 2)
+        by_rate = int(self.store.writes.burst * MIN_FREE_WRITES / 2)
         count = max(1, min(self.settings.txn_ops, by_rate))
         return min(count, max(1, TXN_BYTES // self.settings.value_bytes))
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -17,7 +17,7 @@
 from passrock.core.records import ATTEMPT_BYTES, CancellationRecord, FinalRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError, UnknownOutcomeError
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 
 RETRY_S = 0.2
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         job_table: JobTable,
         leader_revision: int,
         txn_ops: int,
@@ -48,7 +48,7 @@
         on_leadership_lost: Callable[[], None],
     ) -> None:
         """``txn_ops`` limits the writes of a transaction; ``on_finalized`` gets a job's id and its final status."""
-        self.state = state
+        self.store = store
         self.job_table = job_table
         self.leader_revision = leader_revision
         self.txn_ops = txn_ops
@@ -66,7 +66,7 @@
             + WRITES_PER_FINALIZATION * len(self.job_table.finalizing)
             + len(self.orphaned_keys)
         )
-        return writes / self.state.writes.rate
+        return writes / self.store.writes.rate
 
     async def run(self) -> None:
         """Commit for ever."""
@@ -86,7 +86,7 @@
         A transaction of full size spent the rate for a second ahead, and what users sent meanwhile waited as
         long. After a second without enough left, it takes its turn behind them.
         """
-        budget = self.state.writes
+        budget = self.store.writes
         least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
         reserve = min(max(SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
@@ -130,7 +130,7 @@
     async def commit(self, transaction: RecordTransaction) -> bool:
         """Carry out one transaction; False when it has to be tried again later."""
         try:
-            result = await self.state.commit(transaction.conditions, transaction.writes)
+            result = await self.store.commit(transaction.conditions, transaction.writes)
         except UnknownOutcomeError:
             self.orphaned_keys += transaction.orphaned_keys
             return await self._refresh_revisions(transaction)
@@ -188,16 +188,16 @@
 
     async def _refresh_finalization(self, job: Job) -> None:
         """A job may have been finalized by the transaction of unknown outcome, or cancelled before it."""
-        final, _ = await self.state.get(keys.final(job.spec.id))
+        final, _ = await self.store.get(keys.final(job.spec.id))
         if final is not None:
             self._job_finalized(job, decode_record(final.value, FinalRecord).status)
             return
         job.page(0).mod_revision = await self._revision(keys.job(job.spec.id))
-        cancellation, _ = await self.state.get(keys.cancel(job.spec.id))
+        cancellation, _ = await self.store.get(keys.cancellation(job.spec.id))
         if cancellation is not None and not job.cancelled:
             record = decode_record(cancellation.value, CancellationRecord)
             self.job_table.cancel(job, monotonic_time() + record.requested_at - time_of_day())
 
     async def _revision(self, key: str) -> int:
-        entry, _ = await self.state.get(key)
+        entry, _ = await self.store.get(key)
         return entry.mod_revision if entry is not None else 0
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -6,7 +6,7 @@
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
 STORE_DOWN_AFTER_S = 1.5  # without an answer of the store
@@ -19,13 +19,13 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         catalog: MachineCatalog,
         peers: PeerTable,
     ) -> None:
         self.settings = settings
-        self.state = state
+        self.store = store
         self.replica = replica
         self.catalog = catalog
         self.peers = peers
@@ -40,7 +40,7 @@
         if not self.replica.loaded or not self.catalog.types:
             return False
         now = monotonic_time()
-        if not self.state.is_unavailable(now, STORE_DOWN_AFTER_S):
+        if not self.store.is_unavailable(now, STORE_DOWN_AFTER_S):
             return True
         heartbeats = self.peers.heartbeats(now - PEER_ANSWER_AGE_S)
         if any(not heartbeat.store_down for heartbeat in heartbeats):
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -12,7 +12,7 @@
 from passrock.core.cancellations import CancellationLog
 from passrock.core.records import CANCELLED, DONE, tasks_per_page
 from passrock.io.clock import monotonic_time
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
 FENCE_TRIES = 3
@@ -35,13 +35,13 @@
     """Linearizable reads of jobs: from the replica behind a read fence, or else from the store itself."""
 
     def __init__(
-        self, settings: Settings, state: KeyValueStoreClient, replica: Replica, cancellations: CancellationLog
+        self, settings: Settings, store: KeyValueStoreClient, replica: Replica, cancellations: CancellationLog
     ) -> None:
-        self.state = state
+        self.store = store
         self.replica = replica
         self.cancellations = cancellations
         self.page_size = tasks_per_page(settings.value_bytes)
-        self.fence = ReadFence(state, replica, 1.0 / settings.state_rps)
+        self.fence = ReadFence(store, replica, 1.0 / settings.state_rps)
 
     def is_known(self, job_id: str) -> bool:
         """Whether the replica shows that the job was accepted once."""
@@ -67,7 +67,7 @@
         for _ in range(FENCE_TRIES):
             if await self.fence.wait():
                 return self._from_replica(job_id)
-            if self.state.is_unavailable(monotonic_time(), 0.0):
+            if self.store.is_unavailable(monotonic_time(), 0.0):
                 raise UnavailableError("the state service is down")
         return await self._read_unfinished(job_id)
 
@@ -79,7 +79,7 @@
         entry = self.replica.get(keys.job(job_id))
         if entry is None:
             return None
-        if self.replica.get(keys.cancel(job_id)) is not None:
+        if self.replica.get(keys.cancellation(job_id)) is not None:
             return JobStatus(CANCELLED)
         value = entry.value
         done, running = int(value["d"], 16).bit_count(), len(value["l"])
@@ -92,21 +92,21 @@
 
     async def _read_unfinished(self, job_id: str) -> JobStatus | None:
         """Read the store itself, since the replica lags: whether the job is cancelled has to be read as well."""
-        entry, _ = await self.state.get(keys.job(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        entry, _ = await self.store.get(keys.job(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if entry is None:
             return None
-        cancellation, _ = await self.state.get(keys.cancel(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        cancellation, _ = await self.store.get(keys.cancellation(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if cancellation is not None:
             self.cancellations.learn(job_id, monotonic_time())
             return JobStatus(CANCELLED)
         # the job may have ended between the two reads, which deletes its cancellation
-        final, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        final, _ = await self.store.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if final is not None:
             return None
         return JobStatus("queued", int(entry.value["d"], 16).bit_count(), len(entry.value["l"]))
 
     async def _read_final(self, job_id: str) -> JobStatus | None:
-        entry, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        entry, _ = await self.store.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if entry is None:
             return None
         status = entry.value["s"]
--- a/src/passrock/controller/keys.py
+++ b/src/passrock/controller/keys.py
@@ -3,16 +3,16 @@
 ROOT = "p/"
 JOB = "p/j/"
 TASK_PAGE = "p/t/"
-CANCEL = "p/c/"
+CANCELLATION = "p/c/"
 FINAL = "p/f/"
-INTENT = "p/q/"
+PROVISIONING_INTENT = "p/q/"
 RESERVATION = "p/r/"
-MORE = "p/m/"
-HINT = "p/h/"
+RESERVATION_PAGE = "p/m/"
+IMAGE_HINTS = "p/h/"
 ALLOCATION = "p/a/"
 LEADER = "p/lead"
 TERM = "p/term"
-NOWHERE = "p/none"
+PROBE = "p/none"
 
 
 def job(job_id: str) -> str:
@@ -27,17 +27,17 @@
 
 def reservation(team: str, page: int) -> str:
     """The machines of a team's reservation; what one record can't hold is on further pages."""
-    return f"{MORE}{page}/{team}" if page else RESERVATION + team
+    return f"{RESERVATION_PAGE}{page}/{team}" if page else RESERVATION + team
 
 
 def reservation_team(key: str) -> str:
     """Whose reservation a record is part of."""
-    return key[len(RESERVATION) :] if key.startswith(RESERVATION) else key[len(MORE) :].partition("/")[2]
+    return key[len(RESERVATION) :] if key.startswith(RESERVATION) else key[len(RESERVATION_PAGE) :].partition("/")[2]
 
 
-def cancel(job_id: str) -> str:
+def cancellation(job_id: str) -> str:
     """The mark that a job's user was told it is cancelled."""
-    return CANCEL + job_id
+    return CANCELLATION + job_id
 
 
 def final(job_id: str) -> str:
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -32,7 +32,7 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.peers import PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.logs import error, info
 from passrock.settings import Settings
 
@@ -46,7 +46,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         cloud: CloudClient,
         replica: Replica,
         cancellations: CancellationLog,
@@ -66,7 +66,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self._build_tables(settings)
         self._build_decisions(settings)
-        self._build_actions(settings, state, cloud)
+        self._build_actions(settings, store, cloud)
         self._build_loops(settings)
 
     # -- construction: tables, then what decides on them, then what acts --------------------------------
@@ -87,10 +87,10 @@
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
-    def _build_actions(self, settings: Settings, state: KeyValueStoreClient, cloud: CloudClient) -> None:
+    def _build_actions(self, settings: Settings, store: KeyValueStoreClient, cloud: CloudClient) -> None:
         leadership = self.leadership
         self.commit_queue = CommitQueue(
-            state,
+            store,
             self.job_table,
             leadership.leader_revision,
             settings.txn_ops,
@@ -100,7 +100,7 @@
         )
         self.provisioner = Provisioner(
             settings,
-            state,
+            store,
             cloud,
             self.catalog,
             self.inventory,
@@ -109,7 +109,7 @@
             on_change=self.evaluations.request,
         )
         self.rounds = BindingRounds(
-            settings, state, leadership, self.job_table, self.inventory, self.catalog, self.scheduler
+            settings, store, leadership, self.job_table, self.inventory, self.catalog, self.scheduler
         )
 
     def _build_loops(self, settings: Settings) -> None:
@@ -208,7 +208,7 @@
                 self.provisioner.run_deletions(),
             )
         ]
-        self.provisioner.resume_requests(self.replica.with_prefix(keys.INTENT))
+        self.provisioner.resume_requests(self.replica.with_prefix(keys.PROVISIONING_INTENT))
         await self.evaluation_loop.run()
 
     def _load(self) -> None:
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -13,10 +13,10 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import LeaseExpiredError, StoreError, UnknownOutcomeError
 from passrock.io.peer_messages import PeerHeartbeat
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
-from passrock.wire.state import Entry, Put, Write
+from passrock.wire.store import Entry, Put, Write
 
 RENEWALS_PER_LEASE = 4
 RENEWAL_TIMEOUTS_PER_LEASE = 3
@@ -41,9 +41,9 @@
         incarnation: tells this process of the node from its former ones.
     """
 
-    def __init__(self, settings: Settings, state: KeyValueStoreClient, replica: Replica, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, store: KeyValueStoreClient, replica: Replica, rng: random.Random) -> None:
         self.settings = settings
-        self.state = state
+        self.store = store
         self.replica = replica
         self.rng = rng
         self.incarnation = hash(rng.getstate()[1]) & INCARNATION_MASK
@@ -108,7 +108,7 @@
 
     async def _revoke_lease(self, lease_id: int) -> None:
         try:
-            await self.state.end_lease(lease_id)
+            await self.store.end_lease(lease_id)
         except StoreError as problem:
             info("leader_lease_revocation_failed", error=problem)  # it expires by itself
 
@@ -135,12 +135,12 @@
         started = monotonic_time()
         timeout = self.lease_ttl_s / RENEWAL_TIMEOUTS_PER_LEASE
         try:
-            await self.state.renew(self._lease_id, timeout=timeout)
+            await self.store.renew(self._lease_id, timeout=timeout)
         except LeaseExpiredError:
             self.step_down("lease ended")
             return
         if started >= self.lease_deadline:  # the lease may have expired meanwhile: make sure that the key is ours
-            entry, _ = await self.state.get(keys.LEADER, timeout=timeout)
+            entry, _ = await self.store.get(keys.LEADER, timeout=timeout)
             if entry is None or entry.mod_revision != self.leader_revision:
                 self.step_down("key lost")
                 return
@@ -169,7 +169,7 @@
         """Try to acquire the leader key, as the replica shows it, together with the next term."""
         await asyncio.sleep(self.rng.random() * self.lease_ttl_s / JITTER_PER_LEASE)
         started = monotonic_time()
-        lease_id = await self.state.new_lease(self.lease_ttl_s)
+        lease_id = await self.store.new_lease(self.lease_ttl_s)
         term = max(self.known_term, int(stored_term.value) if stored_term else 0) + 1
         conditions = {
             keys.LEADER: leader.mod_revision if leader else 0,
@@ -180,13 +180,13 @@
             Put(keys.TERM, term),
         ]
         try:
-            result = await self.state.commit(conditions, writes)
+            result = await self.store.commit(conditions, writes)
         except UnknownOutcomeError:
             # it may have been applied, or may be later: ending the lease makes it fail, or removes the key
-            await self.state.end_lease(lease_id)
+            await self.store.end_lease(lease_id)
             return
         if not isinstance(result, Committed):
-            await self.state.end_lease(lease_id)
+            await self.store.end_lease(lease_id)
             return
         self._lead(term, lease_id, result.revision, started)
 
--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -8,7 +8,7 @@
 from passrock.controller.worker_redirects import WorkerRedirects
 from passrock.io.clock import monotonic_time
 from passrock.io.peer_messages import PeerHeartbeat
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 
 
 class LocalHeartbeat:
@@ -18,14 +18,14 @@
         self,
         node: str,
         leadership: Leadership,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         renewal: RenewalPolicy,
         redirects: WorkerRedirects,
     ) -> None:
         self.node = node
         self.leadership = leadership
-        self.state = state
+        self.store = store
         self.replica = replica
         self.renewal = renewal
         self.redirects = redirects
@@ -37,7 +37,7 @@
             node=self.node,
             term=self.leadership.known_term,
             leading=self.leadership.leading,
-            store_down=self.state.is_unavailable(now, self.renewal.store_down_after_s),
+            store_down=self.store.is_unavailable(now, self.renewal.store_down_after_s),
             replica_loaded=self.replica.loaded,
             redirected_workers=self.redirects.recent_count(now),
             incarnation=self.leadership.incarnation,
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -26,9 +26,9 @@
 from passrock.io.cloud import CloudClient
 from passrock.io.peer_link import Link
 from passrock.io.peers import PeerExchange, PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
-from passrock.wire.state import Entry
+from passrock.wire.store import Entry
 
 if TYPE_CHECKING:
     from passrock.admission.controller.control import AdmissionControl
@@ -46,40 +46,40 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         cloud: CloudClient,
         links: Sequence[Link],
         rng: random.Random,
     ) -> None:
         self.settings = settings
-        self.state = state
+        self.store = store
         self.cloud = cloud
         self.catalog = MachineCatalog()
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
-        self.replica = Replica(state, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
+        self.replica = Replica(store, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
         retention_s = settings.cancel_s * CANCELLATION_RETENTION
         self.cancellations = CancellationLog(retention_s, on_learned=self._on_cancellation)
         self.replica.subscribe(self._on_state_change)
-        self.leadership = Leadership(settings, state, self.replica, rng)
+        self.leadership = Leadership(settings, store, self.replica, rng)
         self.leadership.subscribe(self._on_role_change)
         self.peer_table = PeerTable(links, settings.report_s)
-        self.renewal = RenewalPolicy(settings, self.leadership, state, self.replica, self.peer_table)
-        self.redirects = WorkerRedirects(settings, self.leadership, state, self.replica, self.peer_table)
+        self.renewal = RenewalPolicy(settings, self.leadership, store, self.replica, self.peer_table)
+        self.redirects = WorkerRedirects(settings, self.leadership, store, self.replica, self.peer_table)
         self.leader_term: LeaderTerm | None = None
         self.admission = self._switch_on_admission(rng)
         self.peers = PeerExchange(
             self.peer_table,
-            LocalHeartbeat(settings.node, self.leadership, state, self.replica, self.renewal, self.redirects),
+            LocalHeartbeat(settings.node, self.leadership, store, self.replica, self.renewal, self.redirects),
             self.leadership.on_peer_heartbeat,
             self.cancellations,
             [] if self.admission is None else [self.admission],
         )
-        self.user_api = UserApi(settings, state, self.replica, self.cancellations, self.catalog, self.admission)
+        self.user_api = UserApi(settings, store, self.replica, self.cancellations, self.catalog, self.admission)
         router = RequestRouter(
             HeartbeatEndpoint(
                 self.leadership, self.renewal, self.redirects, self.cancellations, lambda: self.leader_term
             ),
-            HealthCheck(settings, state, self.replica, self.catalog, self.peer_table),
+            HealthCheck(settings, store, self.replica, self.catalog, self.peer_table),
             self.user_api,
         )
         self.handle = router.handle  # answers requests that come to the client address
@@ -93,7 +93,7 @@
             self.leadership.run,
             partial(self.peers.run, settings.report_s / PEER_HEARTBEATS_PER_INTERVAL),
             partial(load_machine_types, settings, self.cloud, self.catalog, self.sockets),
-            partial(probe_store, self.state, settings.leader_lease_s / 2),
+            partial(probe_store, self.store, settings.leader_lease_s / 2),
         )
         await run_supervised(tasks, restart_delay_s=settings.leader_lease_s / 4)
 
@@ -104,7 +104,7 @@
         from passrock.admission.controller.control import AdmissionControl
 
         control = AdmissionControl(
-            self.settings, self.settings.admission, self.state, self.replica, self.leadership, self.peer_table, rng
+            self.settings, self.settings.admission, self.store, self.replica, self.leadership, self.peer_table, rng
         )
         self.replica.prefixes += (keys.ALLOCATION,)
         return control
@@ -113,8 +113,8 @@
         """The leader needs most of the store's rates; the others share the rest."""
         share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
-            (self.state.requests, self.settings.state_rps),
-            (self.state.writes, self.settings.state_write_rps),
+            (self.store.requests, self.settings.state_rps),
+            (self.store.writes, self.settings.state_write_rps),
         ):
             budget.rate = rate * share
             budget.burst = rate * share
@@ -129,7 +129,7 @@
         if self.leadership.leading:
             self.leader_term = LeaderTerm(
                 self.settings,
-                self.state,
+                self.store,
                 self.cloud,
                 self.replica,
                 self.cancellations,
@@ -143,8 +143,8 @@
                 self.admission.lead(self.leader_term)
 
     def _on_state_change(self, key: str, entry: Entry | None) -> None:
-        if key.startswith(keys.CANCEL) and entry is not None:
-            self.cancellations.learn(key[len(keys.CANCEL) :], monotonic_time())
+        if key.startswith(keys.CANCELLATION) and entry is not None:
+            self.cancellations.learn(key[len(keys.CANCELLATION) :], monotonic_time())
 
     def _on_cancellation(self, job_id: str) -> None:
         """A cancellation is committed: by this node itself, as a peer says, or as the replica shows.
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -13,7 +13,7 @@
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer
 from passrock.io.peer_link import PeerLink
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.logs import info, start_logging
 from passrock.settings import Settings, resource_warnings
 
@@ -27,7 +27,7 @@
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
     """A node with real clients."""
-    state = KeyValueStoreClient(
+    store = KeyValueStoreClient(
         HttpClient(settings.state, STATE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
         TokenBucket(settings.state_rps, settings.state_rps),
@@ -37,7 +37,7 @@
         HttpClient(settings.cloud, CLOUD_CONNECTIONS),
         TokenBucket(settings.cloud_rps * CLOUD_RATE_SHARE, settings.cloud_rps),
     )
-    return Node(settings, state, cloud, [PeerLink(peer) for peer in settings.peers], rng)
+    return Node(settings, store, cloud, [PeerLink(peer) for peer in settings.peers], rng)
 
 
 async def run_node(node: Node) -> None:
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -18,11 +18,11 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.cloud import CloudClient
 from passrock.io.errors import CloudError, NoCapacityError, StoreError
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 from passrock.settings import Settings
 from passrock.wire.cloud import MAX_PER_DELETE
-from passrock.wire.state import Delete, Entry, Put
+from passrock.wire.store import Delete, Entry, Put
 
 RETRY_S = 1.0
 MIN_LIST_INTERVAL_S = 2.0
@@ -68,7 +68,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         cloud: CloudClient,
         catalog: MachineCatalog,
         inventory: MachineInventory,
@@ -77,7 +77,7 @@
         on_change: Callable[[], None],
     ) -> None:
         self.settings = settings
-        self.state = state
+        self.store = store
         self.cloud = cloud
         self.catalog = catalog
         self.inventory = inventory
@@ -107,7 +107,7 @@
         """Repeat the requests that an earlier leader may have left unanswered."""
         for entry in intents:
             intent = ProvisioningIntent.decode(entry.value)
-            self._spawn(self._provision(entry.key[len(keys.INTENT) :], intent, stored=True))
+            self._spawn(self._provision(entry.key[len(keys.PROVISIONING_INTENT) :], intent, stored=True))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -117,9 +117,9 @@
     async def _provision(self, name: str, intent: ProvisioningIntent, *, stored: bool) -> None:
         try:
             if not stored:
-                result = await self.state.commit(
+                result = await self.store.commit(
                     {keys.LEADER: self.leadership.leader_revision},
-                    [Put(keys.INTENT + name, intent.encode())],
+                    [Put(keys.PROVISIONING_INTENT + name, intent.encode())],
                 )
                 if not isinstance(result, Committed):
                     self.leadership.step_down("leader key lost")
@@ -175,7 +175,9 @@
         if has_machines:
             await asyncio.sleep(self.settings.list_lag_s * LISTED_LAGS)
         try:
-            await self.state.commit({keys.LEADER: self.leadership.leader_revision}, [Delete(keys.INTENT + name)])
+            await self.store.commit(
+                {keys.LEADER: self.leadership.leader_revision}, [Delete(keys.PROVISIONING_INTENT + name)]
+            )
         except StoreError:
             debug("provisioning_intent_kept", request=name)
 
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -8,7 +8,7 @@
 from passrock.controller.replica import Replica
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import StoreError
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 
 COMMIT_SHARE = 0.2  # of a second's requests, left for commits when users' questions are read for
 READ_WAIT_S = 0.4  # a read waits no longer for the budget of requests: a user waits 2 s for an answer
@@ -23,8 +23,8 @@
         gap_s: the least time between two reads, during which questions gather for the next one.
     """
 
-    def __init__(self, state: KeyValueStoreClient, replica: Replica, gap_s: float) -> None:
-        self.state = state
+    def __init__(self, store: KeyValueStoreClient, replica: Replica, gap_s: float) -> None:
+        self.store = store
         self.replica = replica
         self.gap_s = gap_s
         self._next_read: asyncio.Task[bool] | None = None  # not sent yet
@@ -41,7 +41,7 @@
         Reads that waited for their turn one by one grew into a queue of seconds, also for submissions. Until
         this one is sent everybody joins it, so that there is never more than one.
         """
-        requests = self.state.requests
+        requests = self.store.requests
         return min(READ_WAIT_S, requests.time_until_available(monotonic_time(), keep=requests.burst * COMMIT_SHARE))
 
     async def _read(self) -> bool:
@@ -49,7 +49,7 @@
         self._next_read = None  # whoever asks from here on needs a later read
         started = monotonic_time()
         try:
-            _, revision = await self.state.get(keys.NOWHERE, timeout=READ_TIMEOUT_S)
+            _, revision = await self.store.get(keys.PROBE, timeout=READ_TIMEOUT_S)
         except StoreError:
             return False
         if not await self.replica.reach(revision, CATCH_UP_TIMEOUT_S):
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -12,7 +12,7 @@
 from passrock.core.job_table import JobTable
 from passrock.core.records import CancellationRecord, JobRecord, TaskPageRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
-from passrock.wire.state import Entry
+from passrock.wire.store import Entry
 
 
 def load_records(
@@ -27,10 +27,10 @@
     _load_jobs(replica, job_table)
     _load_task_pages(replica, job_table, commit_queue)
     _load_cancellations(replica, cancellations, job_table)
-    for prefix in (keys.RESERVATION, keys.MORE):
+    for prefix in (keys.RESERVATION, keys.RESERVATION_PAGE):
         for entry in replica.with_prefix(prefix):
             rounds.load(entry)
-    for entry in replica.with_prefix(keys.HINT):
+    for entry in replica.with_prefix(keys.IMAGE_HINTS):
         inventory.load_image_hints(decode_image_hints(entry.value))
 
 
@@ -60,8 +60,8 @@
 
 def _load_cancellations(replica: Replica, cancellations: CancellationLog, job_table: JobTable) -> None:
     """Cancel the jobs that the replica shows cancelled; a peer may have told of some before the replica does."""
-    for entry in replica.with_prefix(keys.CANCEL):
-        job = job_table.jobs.get(entry.key[len(keys.CANCEL) :])
+    for entry in replica.with_prefix(keys.CANCELLATION):
+        job = job_table.jobs.get(entry.key[len(keys.CANCELLATION) :])
         if job is not None:
             job_table.cancel(job, confirmed_at(entry))
     for job in list(job_table.jobs.values()):
--- a/src/passrock/controller/record_transaction.py
+++ b/src/passrock/controller/record_transaction.py
@@ -7,7 +7,7 @@
 from passrock.controller import keys
 from passrock.core.job import Job, TaskPage
 from passrock.core.records import CANCELLED, DONE, FinalRecord, JobRecord, encode_record
-from passrock.wire.state import Delete, Put, Write
+from passrock.wire.store import Delete, Put, Write
 
 WRITES_PER_FINALIZATION = 3  # a job's record and its cancellation are deleted, its final record is put
 
@@ -61,9 +61,9 @@
         final = FinalRecord(status, job.spec.tasks)
         self.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), encode_record(final))]
         if job.cancelled:
-            self.writes.append(Delete(keys.cancel(job_id)))
+            self.writes.append(Delete(keys.cancellation(job_id)))
         else:
-            self.conditions[keys.cancel(job_id)] = 0
+            self.conditions[keys.cancellation(job_id)] = 0
         self.finalizations.append(Finalization(job, status))
 
     def add_orphan_deletion(self, key: str) -> None:
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -9,7 +9,7 @@
 from passrock.core.cancellations import complete_until, renewal_horizon
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
 LAUNCH_KNOWLEDGE_LEASES = 2.0  # leader leases: a watch over a quiet store answers about so often
@@ -27,13 +27,13 @@
         self,
         settings: Settings,
         leadership: Leadership,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         peers: PeerTable,
     ) -> None:
         self.nodes = settings.nodes
         self.leadership = leadership
-        self.state = state
+        self.store = store
         self.replica = replica
         self.peers = peers
         self.renewal_horizon_s = renewal_horizon(settings.cancel_s, settings.lease_s, settings.report_s)
@@ -87,7 +87,7 @@
         if not leadership.leading or leadership.known_term > term:
             return False
         now = monotonic_time()
-        if not self.state.is_unavailable(now, 0.0):
+        if not self.store.is_unavailable(now, 0.0):
             return False
         votes = 1
         for heartbeat in self.peers.recent_heartbeats(now):
@@ -116,7 +116,7 @@
             return False
         if self.leadership.leading or token < self.leadership.known_term or token == 0:
             return False
-        if not self.state.is_unavailable(now, self.store_down_after_s):
+        if not self.store.is_unavailable(now, self.store_down_after_s):
             return False
         heartbeats = self.peers.recent_heartbeats(now)
         if len(heartbeats) + 1 < self.nodes:
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -11,9 +11,9 @@
 from passrock.core.instants import NEVER
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import CompactedError, StoreError
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.logs import info
-from passrock.wire.state import Change, Entry
+from passrock.wire.store import Change, Entry
 
 WATCH_TIMEOUT_MS = 4000  # how long the key-value store holds a watch open while nothing changes
 WATCH_GAP_REQUESTS = 3.0  # between two watches, as a number of requests at this node's rate
@@ -21,11 +21,11 @@
 LOADED_PREFIXES = (
     keys.JOB,
     keys.TASK_PAGE,
-    keys.CANCEL,
-    keys.INTENT,
+    keys.CANCELLATION,
+    keys.PROVISIONING_INTENT,
     keys.RESERVATION,
-    keys.MORE,
-    keys.HINT,
+    keys.RESERVATION_PAGE,
+    keys.IMAGE_HINTS,
     keys.LEADER,
     keys.TERM,
 )
@@ -45,9 +45,9 @@
         complete_as_of: the monotonic time at which the last read began that proved the replica complete as of then.
     """
 
-    def __init__(self, state: KeyValueStoreClient, finals_kept: int) -> None:
+    def __init__(self, store: KeyValueStoreClient, finals_kept: int) -> None:
         self.prefixes: tuple[str, ...] = LOADED_PREFIXES
-        self.state = state
+        self.store = store
         self.finals_kept = finals_kept
         self.entries: dict[str, Entry] = {}
         self.finals: OrderedDict[str, str] = OrderedDict()
@@ -74,11 +74,11 @@
                 if not self.loaded:
                     await self._load()
                 started = monotonic_time()
-                changes, revision = await self.state.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
+                changes, revision = await self.store.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
                 self.apply(changes, revision)
                 self.mark_complete(started)
                 # each new watch is a request: at a high rate of changes it waits, and brings several at a time
-                await asyncio.sleep(WATCH_GAP_REQUESTS / self.state.requests.rate)
+                await asyncio.sleep(WATCH_GAP_REQUESTS / self.store.requests.rate)
             except CompactedError:
                 self.loaded = False
             except StoreError:
@@ -107,7 +107,7 @@
         for prefix in self.prefixes:
             after, more = "", True
             while more:
-                rows, more, revision = await self.state.page(prefix, after)
+                rows, more, revision = await self.store.page(prefix, after)
                 lowest = revision if lowest is None else min(lowest, revision)
                 entries.update((row.key, row) for row in rows)
                 after = rows[-1].key if rows else ""
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -15,7 +15,7 @@
 from passrock.core.records import JobRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.logs import info
-from passrock.wire.state import Entry
+from passrock.wire.store import Entry
 
 
 class StateEvents:
@@ -44,8 +44,8 @@
         """The replica shows a changed key; ``entry`` is None when it was deleted."""
         if key.startswith(keys.JOB):
             self._job_changed(key[len(keys.JOB) :], entry)
-        elif key.startswith(keys.CANCEL) and entry is not None:
-            self.cancelled(key[len(keys.CANCEL) :], confirmed_at(entry))
+        elif key.startswith(keys.CANCELLATION) and entry is not None:
+            self.cancelled(key[len(keys.CANCELLATION) :], confirmed_at(entry))
 
     def _job_changed(self, job_id: str, entry: Entry | None) -> None:
         if entry is None:
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -15,8 +15,8 @@
 from passrock.core.records import AdmissionToken, encode_record, new_job_record
 from passrock.io.clock import time_of_day
 from passrock.io.errors import StoreError
-from passrock.io.state import Committed, KeyValueStoreClient, TransactionConflict
-from passrock.wire.state import Put, Write
+from passrock.io.store import Committed, KeyValueStoreClient, TransactionConflict
+from passrock.wire.store import Put, Write
 
 
 class AdmissionTokenExpiredError(StoreError):
@@ -57,9 +57,9 @@
 class Submitter:
     """Accepts jobs, several in one transaction when many come at once."""
 
-    def __init__(self, state: KeyValueStoreClient, txn_ops: int) -> None:
+    def __init__(self, store: KeyValueStoreClient, txn_ops: int) -> None:
         """``txn_ops`` is the store's limit on the writes of one transaction."""
-        self.state = state
+        self.store = store
         self.batch_limit = max(1, txn_ops - 1)
         self.queue: list[PendingSubmission] = []
         self.draining = False
@@ -114,7 +114,7 @@
             record = new_job_record(pending.spec, time_of_day(), grant_reference)
             writes.append(Put(keys.job(job_id), encode_record(record)))
         try:
-            result = await self.state.commit(conditions, writes)
+            result = await self.store.commit(conditions, writes)
         except StoreError as error:
             for pending in batch:
                 pending.fail(error)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -16,15 +16,15 @@
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
 from passrock.core.records import CANCELLED, DONE, AdmissionToken, fits_record
-from passrock.core.submission_checks import fault
+from passrock.core.submission_checks import rejection_reason
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError, UnknownOutcomeError
 from passrock.io.http_server import Request, Response
-from passrock.io.state import Committed, KeyValueStoreClient
+from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.settings import Settings
 from passrock.wire import users as wire
 from passrock.wire.cbor import MalformedBodyError
-from passrock.wire.state import Put
+from passrock.wire.store import Put
 
 SUBMIT_TIMEOUT_S = 3.5
 CANCEL_TRIES = 3
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         cancellations: CancellationLog,
         catalog: MachineCatalog,
@@ -46,7 +46,7 @@
     ) -> None:
         """``admission_controller`` decides on submissions where fair admission is switched on."""
         self.settings = settings
-        self.state = state
+        self.store = store
         self.replica = replica
         self.cancellations = cancellations  # a cancelled job stands there before its user is told
         self.catalog = catalog
@@ -56,8 +56,8 @@
         self.read_limiter = request_limiter(settings, slack_s + READ_WAIT_S)
         # submissions and cancellations, which no number of reads may hold up
         self.write_limiter = request_limiter(settings, slack_s)
-        self.lookup = JobLookup(settings, state, replica, cancellations)
-        self.submitter = Submitter(state, settings.txn_ops)
+        self.lookup = JobLookup(settings, store, replica, cancellations)
+        self.submitter = Submitter(store, settings.txn_ops)
 
     def handle(self, request: Request) -> Response | Awaitable[Response]:
         """Answer, or refuse at once when too much is in progress."""
@@ -98,12 +98,12 @@
         types = self.catalog.types
         if not types or not self.replica.loaded:
             return refuse(self.write_limiter, 503)
-        reason = fault(spec, self.settings.teams, types)
+        reason = rejection_reason(spec, self.settings.teams, types)
         # a job that was accepted once gets its state, though the types on offer may have changed since
         is_known = self.lookup.is_known(spec.id)
         if reason is not None and not is_known:
             return Response(422, wire.error_answer(reason))
-        if self.state.writes.time_until_available(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
+        if self.store.writes.time_until_available(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
             return refuse(self.write_limiter, 429)
         if self.admission_controller is None or is_known:
             return limited(self.write_limiter, self._submit(spec, None))
@@ -128,7 +128,7 @@
             429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
         if (
-            self.state.requests.available_fraction(monotonic_time()) < RETRY_LOOKUP_SPARE
+            self.store.requests.available_fraction(monotonic_time()) < RETRY_LOOKUP_SPARE
             or not self.read_limiter.try_acquire()
         ):
             return refused
@@ -187,9 +187,9 @@
                 return _unknown_job()
             if known.status in (DONE, CANCELLED):
                 return Response(200, wire.brief_answer(job_id, known.status))
-            conditions = {keys.final(job_id): 0, keys.cancel(job_id): 0}
+            conditions = {keys.final(job_id): 0, keys.cancellation(job_id): 0}
             try:
-                result = await self.state.commit(conditions, [Put(keys.cancel(job_id), {"at": time_of_day()})])
+                result = await self.store.commit(conditions, [Put(keys.cancellation(job_id), {"at": time_of_day()})])
             except UnknownOutcomeError:
                 continue  # it may have been applied: read again
             if isinstance(result, Committed):
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -9,7 +9,7 @@
 from passrock.core.machine_health import unresponsive_after
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
 
@@ -20,13 +20,13 @@
         self,
         settings: Settings,
         leadership: Leadership,
-        state: KeyValueStoreClient,
+        store: KeyValueStoreClient,
         replica: Replica,
         peers: PeerTable,
     ) -> None:
         self.node = settings.node
         self.leadership = leadership
-        self.state = state
+        self.store = store
         self.replica = replica
         self.peers = peers
         self.lost_workers = LostWorkers(
@@ -63,7 +63,7 @@
         if leading:
             return max(leading, key=lambda heartbeat: heartbeat.term).node
         entry = self.replica.get(keys.LEADER)
-        if entry is None or not isinstance(entry.value, dict) or self.state.is_unavailable(now, lease_ttl_s):
+        if entry is None or not isinstance(entry.value, dict) or self.store.is_unavailable(now, lease_ttl_s):
             return None
         node, term = entry.value.get("node"), entry.value.get("term")
         if not isinstance(node, str) or not isinstance(term, int) or term < known_term:
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -5,7 +5,7 @@
 from passrock.core.model import JobKind, JobSpec, MachineType, Team
 
 
-def fault(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
+def rejection_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
     """Why a job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
--- a/src/passrock/io/state.py
+++ b/src/passrock/io/store.py
@@ -21,9 +21,9 @@
     UnknownOutcomeError,
 )
 from passrock.io.http_client import HttpClient
-from passrock.wire import state as wire
+from passrock.wire import store as wire
 from passrock.wire.cbor import MalformedBodyError
-from passrock.wire.state import ChangeBatch, Entry, EntryPage, Write
+from passrock.wire.store import ChangeBatch, Entry, EntryPage, Write
 
 CALL_TIMEOUT_S = 1.5
 PAGE_TIMEOUT_S = 5.0
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -12,7 +12,7 @@
 from passrock.io.errors import NoAnswerError
 from passrock.io.http_server import Response
 from passrock.io.peer_link import PeerAnswer
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
 from standins.deployment import node_table
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -87,7 +87,7 @@
         flood(cluster, checker, for_s=60.0)
         await asyncio.sleep(6.0)
         leader = leader_of(cluster)
-        commit = leader.node.state.commit
+        commit = leader.node.store.commit
         met = []
 
         async def meets(conditions, writes):
@@ -109,7 +109,7 @@
                 raise UnknownOutcomeError("no answer")
             return result
 
-        leader.node.state.commit = meets
+        leader.node.store.commit = meets
         await asyncio.sleep(2 * SLOT_S)
         begin = cluster.now() + TAKEOVER_S
         await asyncio.sleep(60.0)
@@ -228,7 +228,7 @@
         cluster, checker = overloaded_cluster(7)
         await asyncio.sleep(WARM_S)
         follower = next(sim for sim in cluster.nodes.values() if not sim.node.leadership.leading)
-        commit = follower.node.state.commit
+        commit = follower.node.store.commit
         held = []
 
         async def hold(conditions, writes):
@@ -237,7 +237,7 @@
                 await asyncio.sleep(2 * SLOT_S)
             return await commit(conditions, writes)
 
-        follower.node.state.commit = hold
+        follower.node.store.commit = hold
         spec = cluster.job(LOOK, shelfmark="look")
         accepted = await submit(cluster, checker, spec, node=follower.name)
         return checker, accepted, held
@@ -344,7 +344,7 @@
                 value = {**entry.value, "again": True}
                 await self.state.commit({}, [msgspec.structs.replace(self._put(slot), value=value)])
 
-    from passrock.wire.state import Put
+    from passrock.wire.store import Put
 
     monkeypatch.setattr(SlotAllocator, "_put", lambda self, slot: Put(keys.allocation(slot, 0), {}), raising=False)
     monkeypatch.setattr(SlotAllocator, "decide", twice)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -34,7 +34,7 @@
 
 
 def accepts_every_submission(monkeypatch):
-    monkeypatch.setattr("passrock.controller.user_api.fault", lambda spec, teams, types: None)
+    monkeypatch.setattr("passrock.controller.user_api.rejection_reason", lambda spec, teams, types: None)
 
 
 def stops_scheduling(monkeypatch):
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -32,7 +32,7 @@
     async def main():
         cluster, leader = await settled_cluster(310)
         slow, third = others(cluster, leader)
-        lookup, read = cluster.nodes[slow].node.user_api.lookup, cluster.nodes[slow].node.state.get
+        lookup, read = cluster.nodes[slow].node.user_api.lookup, cluster.nodes[slow].node.store.get
 
         async def no_fence():
             return False
@@ -45,7 +45,7 @@
                     await asyncio.sleep(0.1)
             return answer
 
-        lookup.fence.wait, lookup.state.get = no_fence, get
+        lookup.fence.wait, lookup.store.get = no_fence, get
         asked = cluster.now()
         status, answer = await cluster.ask("GET", "/v2/runs/wk-000000", timeout=30.0, node=slow)
         told = cluster.checker.confirmed["wk-000000"]
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -74,9 +74,9 @@
 from passrock.io.peer_link import PeerAnswer, PeerConnection
 from passrock.io.peer_messages import PeerHeartbeat, frame
 from passrock.io.peers import PeerExchange, PeerTable
-from passrock.io.state import KeyValueStoreClient
+from passrock.io.store import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
-from passrock.wire import cloud, state, users, workers
+from passrock.wire import cloud, store, users, workers
 from standins import virtual_time
 from standins.deployment import node_table
 
@@ -236,7 +236,7 @@
 
 def make_write(values):
     kind, *fields = values.values()
-    return state.Put(*fields) if kind == "put" else state.Delete(fields[0])
+    return store.Put(*fields) if kind == "put" else store.Delete(fields[0])
 
 
 # fixture -> how its values are encoded, and how its bytes are decoded where the code has that direction
@@ -258,13 +258,13 @@
     "cloud/rented": cloud.parse_rented,
     "cloud/machines": cloud.parse_list,
     "cloud/machines_last_page": cloud.parse_list,
-    "state/lease": state.parse_lease,
-    "state/entry": state.parse_entry,
-    "state/revision": state.parse_revision,
-    "state/failed": state.parse_failed,
-    "state/page": state.parse_page,
-    "state/page_last": state.parse_page,
-    "state/changes": state.parse_changes,
+    "state/lease": store.parse_lease,
+    "state/entry": store.parse_entry,
+    "state/revision": store.parse_revision,
+    "state/failed": store.parse_failed,
+    "state/page": store.parse_page,
+    "state/page_last": store.parse_page,
+    "state/changes": store.parse_changes,
 }
 # fixture -> the encoder of a body that is sent to others, called with the fixture's values
 ENCODERS = {
@@ -276,8 +276,8 @@
     "workers/redirect_nowhere": workers.redirect,
     "cloud/rental": cloud.rental,
     "cloud/deletion": cloud.deletion,
-    "state/commit": lambda conditions, writes: state.commit(dict(conditions), [make_write(one) for one in writes]),
-    "state/lease_request": state.lease_request,
+    "state/commit": lambda conditions, writes: store.commit(dict(conditions), [make_write(one) for one in writes]),
+    "state/lease_request": store.lease_request,
 }
 # name in wire/paths.json -> constant, or function with its arguments there
 PATHS = {
@@ -290,34 +290,34 @@
     "cloud delete": cloud.DELETE_PATH,
     "cloud list": cloud.list_path,
     "cloud list further": cloud.list_path,
-    "state leases": state.LEASES_PATH,
-    "state commit": state.COMMIT_PATH,
-    "state get": state.get_path,
-    "state list": state.list_path,
-    "state list further": state.list_path,
-    "state watch": state.watch_path,
-    "state renew": state.renew_path,
-    "state lease": state.lease_path,
+    "state leases": store.LEASES_PATH,
+    "state commit": store.COMMIT_PATH,
+    "state get": store.get_path,
+    "state list": store.list_path,
+    "state list further": store.list_path,
+    "state watch": store.watch_path,
+    "state renew": store.renew_path,
+    "state lease": store.lease_path,
 }
 # name in records/keys.json -> prefix or key, or function with its arguments there
 KEYS = {
     "root": keys.ROOT,
     "jobs": keys.JOB,
     "chunks": keys.TASK_PAGE,
-    "cancellations": keys.CANCEL,
+    "cancellations": keys.CANCELLATION,
     "finals": keys.FINAL,
-    "intents": keys.INTENT,
+    "intents": keys.PROVISIONING_INTENT,
     "reservations": keys.RESERVATION,
-    "reservation pages": keys.MORE,
-    "hints": keys.HINT,
+    "reservation pages": keys.RESERVATION_PAGE,
+    "hints": keys.IMAGE_HINTS,
     "allocations": keys.ALLOCATION,
     "leader": keys.LEADER,
     "term": keys.TERM,
-    "nowhere": keys.NOWHERE,
+    "nowhere": keys.PROBE,
     "job": keys.job,
     "first chunk": keys.task_page,
     "further chunk": keys.task_page,
-    "cancellation": keys.cancel,
+    "cancellation": keys.cancellation,
     "final": keys.final,
     "reservation": keys.reservation,
     "reservation page": keys.reservation,
@@ -540,7 +540,7 @@
     """A user cancels a job."""
     node = a_node(http)
     value = msgspec.json.decode(golden("records/job_array.record"))
-    node.replica.entries["p/j/wk-4071"] = state.Entry("p/j/wk-4071", value, 98)
+    node.replica.entries["p/j/wk-4071"] = store.Entry("p/j/wk-4071", value, 98)
     answer = await node.handle(Request("POST", "/v2/runs/wk-4071/withdraw", b""))
     assert (answer.status, cbor2.loads(answer.body)) == (200, {"ref": "wk-4071", "status": "cancelled"})
 
@@ -626,7 +626,7 @@
 async def take_the_leadership(http):
     """A node takes its own former key over, with the next term."""
     client = state_client(http)
-    former = [state.Entry("p/lead", {"node": "n1", "term": 40}, 95), state.Entry("p/term", 40, 94)]
+    former = [store.Entry("p/lead", {"node": "n1", "term": 40}, 95), store.Entry("p/term", 40, 94)]
     leadership = Leadership(make_settings(), client, make_replica(client, former), random.Random(5))
     work = asyncio.ensure_future(leadership.run())
     while not leadership.leading:
@@ -686,7 +686,7 @@
         for path in sorted((GOLDEN / "requests").glob(f"{name}.*.cbor")):
             for change in cbor2.loads(path.read_bytes()).get("apply", ()):
                 if "set" in change:
-                    entries[change["set"]] = state.Entry(change["set"], change["v"], 1000 + len(entries))
+                    entries[change["set"]] = store.Entry(change["set"], change["v"], 1000 + len(entries))
     return list(entries.values())
 
 
@@ -728,7 +728,7 @@
     async def main():
         await asyncio.sleep(50.0)  # by the steady clock; records tell the time of day
         use_wall_clock(lambda: TIME_OF_DAY + 12.5)
-        stray = state.Entry("p/t/wk-4079/1", {}, 3)
+        stray = store.Entry("p/t/wk-4079/1", {}, 3)
         harness, rounds, queue = loaded([*golden_entries("attempts", "withdrawal", "binding_round"), stray])
         (job,) = harness.job_table.jobs.values()
         return [job_values(job), plain(rounds.assignments), plain(harness.inventory.image_hints), queue.orphaned_keys]
@@ -791,7 +791,7 @@
         client.last_success_at = 0.0
         replica = make_replica(client, entries)
         redirects = make_redirects(client, replica)
-        replica.apply([state.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
+        replica.apply([store.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
         return redirects.leader(monotonic_time()), redirects.leadership.known_term
 
     assert virtual_time.run(main()) == ("n1", 41)
@@ -799,7 +799,7 @@
 
 def show(node, key, value, version=7):
     """Let a node's copy of the state show an entry."""
-    node.replica.apply([state.Change(key, True, value, version)], 0)
+    node.replica.apply([store.Change(key, True, value, version)], 0)
 
 
 def test_golden_grant_reference_counts_the_job_in_its_slot(wall_clock):
@@ -817,7 +817,7 @@
         node = a_node(RecordingHttp(), AdmissionSettings())
         for page, value in enumerate(spelt("records/allocation_pages")):
             show(node, keys.allocation(4711, page), value)
-        stored = node.admission.store.get(4711)
+        stored = node.admission.allocations.get(4711)
         return plain(stored.allocation), stored.mod_revision, stored.pages
 
     allocation, version, pages = virtual_time.run(main())
@@ -828,10 +828,10 @@
 def test_golden_allocation_gives_the_golden_admission_token(wall_clock):
     values = spelt("records/allocation")
     grants = GrantLedger("node-1", 7000001)
-    store = AllocationStore(dict, grants.add)
+    allocations = AllocationStore(dict, grants.add)
     clock = SlotClock(TIME_OF_DAY / (4711 + 0.5))
-    admitter = SubmissionAdmitter(clock, grants, store, Weights({}, (), {}, {}, 1.5), random.Random(5))
-    store.put(make_allocation(values), 97, 3)
+    admitter = SubmissionAdmitter(clock, grants, allocations, Weights({}, (), {}, {}, 1.5), random.Random(5))
+    allocations.put(make_allocation(values), 97, 3)
     assert plain(admitter.decide(make_spec(spelt("users/submission_array")))) == positional(spelt("records/permit"))
 
 
@@ -847,14 +847,14 @@
         dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
-        store = AllocationStore(dict, lambda allocation: None)
+        allocations = AllocationStore(dict, lambda allocation: None)
         for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
-            store.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
+            allocations.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
         allocator = SlotAllocator(
-            settings, admission, client, leadership, store, outcomes, control.report, lambda: 0.0
+            settings, admission, client, leadership, allocations, outcomes, control.report, lambda: 0.0
         )
         await allocator.decide(4712)
-        return http.changing(), store.get(4712).mod_revision
+        return http.changing(), allocations.get(4712).mod_revision
 
     sent, version = virtual_time.run(main())
     ((method, path, body),) = sent
@@ -1003,7 +1003,7 @@
 
 def unreadable(entries, key):
     """The entries with one of them made unreadable."""
-    return [state.Entry(key, {"?": 1}, 1) if entry.key == key else entry for entry in entries]
+    return [store.Entry(key, {"?": 1}, 1) if entry.key == key else entry for entry in entries]
 
 
 @pytest.mark.parametrize(
@@ -1014,7 +1014,7 @@
 
     async def main():
         entries = golden_entries("attempts", "withdrawal", "binding_round", "rental")
-        mark = state.Entry("p/q/41-1", {"ty": "g8", "z": "zb", "sp": True, "n": 17}, 3)
+        mark = store.Entry("p/q/41-1", {"ty": "g8", "z": "zb", "sp": True, "n": 17}, 3)
         entries.append(mark)
         assert key is None or key in {entry.key for entry in entries}
         http = RecordingHttp()
@@ -1046,7 +1046,7 @@
     async def main():
         client = state_client(RecordingHttp())
         client.last_success_at = 0.0
-        replica = make_replica(client, [state.Entry("p/lead", value, 7)])
+        replica = make_replica(client, [store.Entry("p/lead", value, 7)])
         return make_redirects(client, replica).leader(monotonic_time())
 
     assert virtual_time.run(main()) is None
@@ -1058,7 +1058,7 @@
         client = state_client(RecordingHttp())
         replica = make_replica(client)
         leadership = Leadership(make_settings(), client, replica, random.Random(5))
-        replica.apply([state.Change("p/term", True, value, 7)], 0)
+        replica.apply([store.Change("p/term", True, value, 7)], 0)
         return leadership.known_term
 
     assert virtual_time.run(main()) == 0
@@ -1096,12 +1096,12 @@
     pages = bad_pages(change)
     with pytest.raises(UnreadableAllocationError):
         decode_allocation(pages)
-    entries = {keys.allocation(4711, page): state.Entry("", value, 7) for page, value in enumerate(pages)}
-    entries = {key: state.Entry(key, entry.value, 7) for key, entry in entries.items()}
-    store = AllocationStore(lambda: entries, lambda allocation: None)
+    entries = {keys.allocation(4711, page): store.Entry("", value, 7) for page, value in enumerate(pages)}
+    entries = {key: store.Entry(key, entry.value, 7) for key, entry in entries.items()}
+    allocations = AllocationStore(lambda: entries, lambda allocation: None)
     for key, entry in entries.items():
-        store.on_change(key, entry)
-    assert store.get(4711) is None
+        allocations.on_change(key, entry)
+    assert allocations.get(4711) is None
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", b"\x97\x02", golden("peers/heartbeat_leader.frame")[4:]])
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -11,8 +11,8 @@
 from passrock.core.inventory import DELETED_NAMES_KEPT, MachineInventory
 from passrock.core.machine_health import MachineHealth
 from passrock.io.http_server import Request
-from passrock.io.state import TransactionConflict
-from passrock.wire.state import Put
+from passrock.io.store import TransactionConflict
+from passrock.wire.store import Put
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
@@ -46,7 +46,7 @@
             if changed_at is None and now and now[0] != old:
                 changed_at = step * 0.05
         other = next(s for name, s in cluster.nodes.items() if name != old)
-        late = await other.node.state.commit({"p/lead": leader_revision}, [Put("p/j/wk-1", {})])
+        late = await other.node.store.commit({"p/lead": leader_revision}, [Put("p/j/wk-1", {})])
         return cluster, most, changed_at, late
 
     cluster, most, changed_at, late = virtual_time.run(main())
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -4,7 +4,7 @@
 
 from builders import BOX, TEAMS, spec
 from passrock.core.model import JobKind, Resources, Team
-from passrock.core.submission_checks import fault
+from passrock.core.submission_checks import rejection_reason
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,7 @@
     ],
 )
 def test_jobs_that_can_never_run(fields, refused):
-    assert (fault(spec(**fields), TEAMS, {"box": BOX}) is not None) is refused
+    assert (rejection_reason(spec(**fields), TEAMS, {"box": BOX}) is not None) is refused
 
 
 def test_limits_of_zero_are_none():
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -41,7 +41,7 @@
         leader = await cluster.wait_for_leader()
         node = leader if leading else next(name for name in cluster.nodes if name != leader)
         await submit(cluster, node, 1)
-        requests = cluster.nodes[node].node.state.requests
+        requests = cluster.nodes[node].node.store.requests
         requests.rate = requests.burst = FEW_REQUESTS
         answers = []
         for _ in range(80):
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -6,7 +6,7 @@
 from passrock.core.job_table import JobTable
 from passrock.core.messages import Command, CommandKind, ExitReason, TaskState
 from passrock.core.records import JobSpecRecord, new_job_record
-from passrock.wire import cloud, state, users, workers
+from passrock.wire import cloud, store, users, workers
 from passrock.wire.cbor import MalformedBodyError
 from standins.simulated_cluster import SimulatedCluster
 
@@ -154,11 +154,11 @@
         (cloud.parse_types, {"bindings": [{"sku": "g8"}]}),
         (cloud.parse_rented, {"stacks": [1]}),
         (cloud.parse_list, {"stacks": [{"ref": "host-1"}], "truncated": False}),
-        (state.parse_entry, {"key": "a", "v": 1}),
-        (state.parse_changes, {"ledger": 3, "events": [{"set": 4}]}),
-        (state.parse_page, {"entries": [], "truncated": False}),
-        (state.parse_lease, {"loan": "7"}),
-        (state.parse_failed, {}),
+        (store.parse_entry, {"key": "a", "v": 1}),
+        (store.parse_changes, {"ledger": 3, "events": [{"set": 4}]}),
+        (store.parse_page, {"entries": [], "truncated": False}),
+        (store.parse_lease, {"loan": "7"}),
+        (store.parse_failed, {}),
     ],
 )
 def test_malformed_answers_are_bad_bodies(parse, raw):
@@ -167,7 +167,7 @@
 
 
 def test_state_transaction():
-    raw = state.commit({"a": 3}, [state.Put("a", {"x": 1}, 7), state.Put("b", 2), state.Delete("c")])
+    raw = store.commit({"a": 3}, [store.Put("a", {"x": 1}, 7), store.Put("b", 2), store.Delete("c")])
     assert cbor2.loads(raw) == {
         "if": [{"key": "a", "stamp": 3}],
         "apply": [{"set": "a", "v": {"x": 1}, "loan": 7}, {"set": "b", "v": 2}, {"drop": "c"}],
