--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -10,7 +10,15 @@
 from passrock.controller.read_fence import ReadFence
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import CancellationLog
-from passrock.core.records import CANCELLED, DONE, tasks_per_page
+from passrock.core.records import (
+    CANCELLED,
+    DONE,
+    FinalRecord,
+    count_tasks,
+    decode_record,
+    tasks_per_page,
+    total_tasks,
+)
 from passrock.io.clock import monotonic_time
 from passrock.io.state import KeyValueStoreClient
 from passrock.settings import Settings
@@ -81,13 +89,13 @@
             return None
         if self.replica.get(keys.cancel(job_id)) is not None:
             return JobStatus(CANCELLED)
-        value = entry.value
-        done, running = int(value["d"], 16).bit_count(), len(value["l"])
-        for number in range(1, math.ceil(value["s"]["n"] / self.page_size)):
+        done, running = count_tasks(entry.value)
+        for number in range(1, math.ceil(total_tasks(entry.value) / self.page_size)):
             page = self.replica.get(keys.task_page(job_id, number))
             if page is not None:
-                done += int(page.value["d"], 16).bit_count()
-                running += len(page.value["l"])
+                counts = count_tasks(page.value)
+                done += counts.completed
+                running += counts.placed
         return JobStatus("running" if running else "queued", done, running)
 
     async def _read_unfinished(self, job_id: str) -> JobStatus | None:
@@ -103,12 +111,13 @@
         final, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if final is not None:
             return None
-        return JobStatus("queued", int(entry.value["d"], 16).bit_count(), len(entry.value["l"]))
+        counts = count_tasks(entry.value)
+        return JobStatus("queued", counts.completed, counts.placed)
 
     async def _read_final(self, job_id: str) -> JobStatus | None:
         entry, _ = await self.state.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
         if entry is None:
             return None
-        status = entry.value["s"]
-        self.replica.note_final(job_id, status)
-        return JobStatus(status, entry.value["n"] if status == DONE else 0)
+        final = decode_record(entry.value, FinalRecord)
+        self.replica.note_final(job_id, final.status)
+        return JobStatus(final.status, final.tasks if final.status == DONE else 0)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -15,7 +15,14 @@
 from passrock.core.cancellations import CancellationLog
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
-from passrock.core.records import CANCELLED, DONE, AdmissionToken, fits_record
+from passrock.core.records import (
+    CANCELLED,
+    DONE,
+    AdmissionToken,
+    CancellationRecord,
+    encode_record,
+    fits_record,
+)
 from passrock.core.submission_checks import fault
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError, UnknownOutcomeError
@@ -188,8 +195,9 @@
             if known.status in (DONE, CANCELLED):
                 return Response(200, wire.brief_answer(job_id, known.status))
             conditions = {keys.final(job_id): 0, keys.cancel(job_id): 0}
+            record = encode_record(CancellationRecord(time_of_day()))
             try:
-                result = await self.state.commit(conditions, [Put(keys.cancel(job_id), {"at": time_of_day()})])
+                result = await self.state.commit(conditions, [Put(keys.cancel(job_id), record)])
             except UnknownOutcomeError:
                 continue  # it may have been applied: read again
             if isinstance(result, Committed):
--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -44,7 +44,7 @@
         free = self.capacity.on(machine)
         if resources.fits(free):
             return 0.0
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         ends = [(self._seconds_left(attempt, now), attempt.job.spec.resources) for attempt in attempts]
         for seconds_left, released in sorted(ends, key=lambda end: end[0]):
             free = free + released
--- a/src/passrock/core/graceful_stop.py
+++ b/src/passrock/core/graceful_stop.py
@@ -2,17 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-
 from passrock.core.job import TaskAttempt
 from passrock.core.job_table import JobTable
 from passrock.core.messages import TaskState
-from passrock.core.model import JobKind
-
-
-def stopped_together(attempt: TaskAttempt) -> Iterable[TaskAttempt]:
-    """The attempts that end when this one is stopped: its whole gang, or itself."""
-    return attempt.job.attempts() if attempt.job.spec.kind is JobKind.GANG else (attempt,)
 
 
 def stop_gracefully(attempt: TaskAttempt, min_grace_s: float) -> None:
@@ -28,7 +20,7 @@
 
 
 def drain_machine(job_table: JobTable, machine_name: str) -> None:
-    """Ask everything on a machine to save and end."""
-    for attempt in list(job_table.attempts_by_machine.get(machine_name, {}).values()):
-        for member in list(stopped_together(attempt)):
+    """Ask everything on a machine, gangs as a whole, to save and end."""
+    for attempt in list(job_table.attempts_on(machine_name)):
+        for member in attempt.gang_attempts():
             stop_gracefully(member, member.job.spec.checkpoint_save_s)
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -64,7 +64,7 @@
         return self.job.page(self.index).committed_version >= self.page_version
 
     def gang_attempts(self) -> list[TaskAttempt]:
-        """The attempts that stop and complete together: all of a gang, this one alone in other jobs."""
+        """The attempts that stop and complete together with this one: its whole gang, or itself."""
         return list(self.job.attempts()) if self.job.spec.kind is JobKind.GANG else [self]
 
 
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from passrock.core.graceful_stop import stopped_together
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.model import JobKind, Priority
 from passrock.core.preemption_planner import PreemptionPlan, PreemptionPlanner
@@ -61,7 +60,7 @@
             attempt.stop_grace_s is not None
             for name, hold in self.holds.by_machine.items()
             if hold.job_id == job.spec.id
-            for attempt in self.job_table.attempts_by_machine.get(name, {}).values()
+            for attempt in self.job_table.attempts_on(name)
         )
 
     def _revoke_elastic(self, job: Job, now: float) -> list[TaskAttempt]:
@@ -114,5 +113,5 @@
         for entry in plan.entries:
             self.holds.hold(entry.machine, job, until)
             for victim in entry.victims:
-                victims.update({attempt.key: attempt for attempt in stopped_together(victim)})
+                victims.update({attempt.key: attempt for attempt in victim.gang_attempts()})
         return list(victims.values())
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -136,7 +136,7 @@
         free = self.capacity.on(machine)
         if resources.fits(free):
             return VictimChoice(0.0, [])
-        attempts = self.job_table.attempts_by_machine.get(machine.name, {}).values()
+        attempts = self.job_table.attempts_on(machine.name)
         for attempt in attempts:
             if attempt.stop_grace_s is not None:  # it is being stopped already
                 free = free + attempt.job.spec.resources
--- a/src/passrock/core/preemption_policy.py
+++ b/src/passrock/core/preemption_policy.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from passrock.core.graceful_stop import stopped_together
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.model import ZERO_RESOURCES, Priority
 from passrock.core.scheduler import Scheduler
@@ -61,5 +60,5 @@
         """
         return all(
             attempt.running_since is not None and now - attempt.running_since > START_COUNTS_AFTER_S
-            for attempt in stopped_together(victim)
+            for attempt in victim.gang_attempts()
         )
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
@@ -241,6 +241,27 @@
     return record if grant_reference is None else msgspec.structs.replace(record, grant_reference=grant_reference)
 
 
+class TaskCounts(NamedTuple):
+    """How many tasks of a page have completed, and how many have an attempt on a machine."""
+
+    completed: int
+    placed: int
+
+
+def count_tasks(value: dict[str, Any]) -> TaskCounts:
+    """The counts of a stored job's first page, or of a further page.
+
+    Users ask often: only the two fields are read, without decoding every attempt of a large job.
+    """
+    return TaskCounts(int(value["d"], 16).bit_count(), len(value["l"]))
+
+
+def total_tasks(value: dict[str, Any]) -> int:
+    """How many tasks a stored job has in all, read for the same reason without decoding it."""
+    tasks: int = value["s"]["n"]
+    return tasks
+
+
 def tasks_per_page(value_bytes: int) -> int:
     """How many tasks one record of at most ``value_bytes`` holds beside the job's own specification."""
     return max(LEAST_TASKS_PER_PAGE, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
