--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -1,6 +1,7 @@
 """Floods of submissions, and a checker of what fair admission promises."""
 
 import asyncio
+from itertools import pairwise
 
 import cbor2
 
@@ -113,7 +114,7 @@
 def longest_gap(times, begin, end):
     """The longest time without a start."""
     points = [begin, *(at for at in times if begin <= at <= end), end]
-    return max(later - earlier for earlier, later in zip(points, points[1:], strict=False))
+    return max(later - earlier for earlier, later in pairwise(points))
 
 
 class ClassWaits:
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -17,7 +17,12 @@
     "sick",
     "peers",
     "cloud",
-) + ("unreachable_inbound", "isolate", "elections", "all_peers", "workers")
+    "unreachable_inbound",
+    "isolate",
+    "elections",
+    "all_peers",
+    "workers",
+)
 FREEZE_WEIGHT = 4  # as likely as so many others, on clusters whose controllers may stand still
 
 
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -124,9 +124,9 @@
         refused = cluster.job(LARGE + 1, shelfmark="kept", desk="t2")
         cluster.specs[refused["ref"]] = refused
         fresh, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(refused))
-        return cluster, len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
+        return len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
 
-    cluster, served, answers, kept = virtual_time.run(main())
+    served, answers, kept = virtual_time.run(main())
     assert served > 0 and kept is None
     assert answers == (200, "queued", 422)
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -262,15 +262,14 @@
             cluster.admission[number] = ADMISSION if on[number] else None
             await cluster.crash([f"n{number}"], 1.0)
             await asyncio.sleep(TAKEOVER_S)
-        mixed = dict(checker.pages)
         for number in rolled:  # and back
             cluster.admission[number] = None
             await cluster.crash([f"n{number}"], 1.0)
             await asyncio.sleep(TAKEOVER_S)
         leader = leader_of(cluster)
-        return cluster, checker, mixed, leader
+        return cluster, checker, leader
 
-    cluster, checker, mixed, leader = virtual_time.run(main())
+    cluster, checker, leader = virtual_time.run(main())
     assert checker.verify() == [] and cluster.checker.broken == []
     assert checker.given_up == set() and max(checker.waits("wk-9")) <= BOUND_S + TAKEOVER_S
     assert checker.unmarked > 0
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -26,7 +26,12 @@
 
 def applies_no_peer_cancellations(monkeypatch):
     apply = PeerLogProgress.apply
-    monkeypatch.setattr(PeerLogProgress, "apply", lambda self, *answer: [] if apply(self, *answer) else [])
+
+    def apply_and_forget(self, *answer):
+        apply(self, *answer)
+        return []
+
+    monkeypatch.setattr(PeerLogProgress, "apply", apply_and_forget)
 
 
 def waits_out_a_correlated_outage_with_cancelled_tasks(monkeypatch):
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -15,6 +15,7 @@
 from enum import Enum
 from pathlib import Path
 from types import SimpleNamespace
+from typing import ClassVar
 
 import cbor2
 import fastavro
@@ -409,7 +410,11 @@
 class RecordingHttp:
     """Keeps what a client sends, and answers as a service would that carries out everything."""
 
-    ANSWERS = {"/commit": {"ledger": 4711}, "/leases": {"loan": 77}, "/rentals": {"stacks": ["host-41", "host-42"]}}
+    ANSWERS: ClassVar = {
+        "/commit": {"ledger": 4711},
+        "/leases": {"loan": 77},
+        "/rentals": {"stacks": ["host-41", "host-42"]},
+    }
 
     def __init__(self, stored=None):
         self.stored = stored or {}  # key -> value and version
@@ -975,7 +980,7 @@
     answer, demand = virtual_time.run(main())
     assert decode_heartbeat(answer) == positional(spelt("peers/answer_of_a_node"))
     assert answer == golden("peers/answer_of_a_node.frame")
-    ((name, data),) = spelt("peers/answer_of_a_node")["extensions"]
+    ((_, data),) = spelt("peers/answer_of_a_node")["extensions"]
     assert text(plain(decode_demand("n1", bytes.fromhex(data)))) == text(positional(spelt("peers/demand_of_a_node")))
     reported = plain(demand.demand(0.0)["node-3"])
     assert reported == positional(spelt("peers/demand")["flows"])
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -33,7 +33,7 @@
             return self.levels[node.id]
         return None
 
-    def visit_Assign(self, node):  # noqa: N802
+    def visit_Assign(self, node):
         value = node.value
         if isinstance(value, ast.IfExp) and isinstance(node.targets[0], ast.Name):
             levels = [self.level_of(branch) for branch in (value.body, value.orelse)]
@@ -41,14 +41,14 @@
                 self.chosen[node.targets[0].id] = levels
         self.generic_visit(node)
 
-    def visit_Tuple(self, node):  # noqa: N802
+    def visit_Tuple(self, node):
         if len(node.elts) == 2 and is_text(node.elts[1]):
             level = self.level_of(node.elts[0])
             if level:
                 self.events.add((node.elts[1].value, level))
         self.generic_visit(node)
 
-    def visit_Call(self, node):  # noqa: N802
+    def visit_Call(self, node):
         if node.args and is_text(node.args[0]) and isinstance(node.func, ast.Name):
             level = self.level_of(node.func)
             for one in [level] if level else self.chosen.get(node.func.id, ()):
