--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -1,5 +1,9 @@
 """Checks the users' rules against what really happens in the simulated cluster."""
 
+import math
+
+FINAL = ("done", "cancelled")  # states of a job that stay
+
 
 class Checker:
     """Collects broken rules as (time, rule, detail)."""
@@ -85,7 +89,7 @@
         placed = {job for (job, _), places in self.present.items() if places}
         for job in self.accepted:
             spec = self.cluster.specs[job]
-            over = job in self.cancel_asked or self.confirmed[job][1] in ("done", "cancelled")
+            over = job in self.cancel_asked or self.confirmed[job][1] in FINAL
             tasks = 1 if spec["format"] == "batch" else spec["volumes"]
             if over or job in placed or not self._has_room(spec, tasks):
                 self.waiting_since.pop(job, None)
@@ -131,7 +135,7 @@
         """A user got an answer to a question asked at ``asked_at``."""
         if status in (400, 422) and job in self.accepted:
             self.break_rule("forgotten", f"{job} refused with {status}")
-        if status == 404 and any(at <= asked_at for at in [self.confirmed.get(job, (1e18, ""))[0]]):
+        if status == 404 and self.confirmed.get(job, (math.inf, ""))[0] <= asked_at:
             self.break_rule("forgotten", f"{job} unknown")
         if status not in (200, 201):
             return
@@ -141,18 +145,21 @@
         if job not in self.cluster.specs:
             self.break_rule("invented", job)
             return
-        state = body["status"]
+        self._check_state(job, asked_at, body["status"])
+        self.accepted.add(job)
+
+    def _check_state(self, job, asked_at, state):
+        """A state that a user is told has to be true, and to follow from what users were told before."""
         if state == "done":
             spec = self.cluster.specs[job]
             if any((job, index) not in self.cluster.completed for index in range(spec["volumes"])):
                 self.break_rule("not_done", job)
         if state == "cancelled" and job not in self.cancel_asked:
             self.break_rule("went_back", f"{job} cancelled by nobody")
-        before_at, before = self.confirmed.get(job, (1e18, ""))
-        if before in ("done", "cancelled") and state != before and before_at <= asked_at:
+        before_at, before = self.confirmed.get(job, (math.inf, ""))
+        if before in FINAL and state != before and before_at <= asked_at:
             self.break_rule("went_back", f"{job} was {before}, is {state}")
         if state == "cancelled":
             self.confirmed_cancelled.setdefault(job, self.cluster.now())
-        if before not in ("done", "cancelled"):
+        if before not in FINAL:
             self.confirmed[job] = (self.cluster.now(), state)
-        self.accepted.add(job)
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -83,22 +83,25 @@
             return 200, cbor2.dumps({"key": key, "v": value, "stamp": stamp, "loan": lease})
         if url.path == "/commit":
             return self._commit(cbor2.loads(body))
-        if url.path == "/leases":
+        if url.path == "/leases" or url.path.startswith("/leases/"):
+            return self._lease(method, url.path, body)
+        return 400, b""
+
+    def _lease(self, method, path, body):
+        if path == "/leases":
             ttl = cbor2.loads(body)["lifeMs"] / 1000
             lease, self.next_lease = self.next_lease, self.next_lease + 1
             self.leases[lease] = (self._now() + ttl, ttl)
             return 200, cbor2.dumps({"loan": lease})
-        if url.path.startswith("/leases/"):
-            lease = int(url.path.split("/")[2])
-            if lease not in self.leases:
-                return 404, b""
-            if method == "DELETE":
-                self._end(lease)
-            else:
-                ttl = self.leases[lease][1]
-                self.leases[lease] = (self._now() + ttl, ttl)
-            return 200, cbor2.dumps({})
-        return 400, b""
+        lease = int(path.split("/")[2])
+        if lease not in self.leases:
+            return 404, b""
+        if method == "DELETE":
+            self._end(lease)
+        else:
+            ttl = self.leases[lease][1]
+            self.leases[lease] = (self._now() + ttl, ttl)
+        return 200, cbor2.dumps({})
 
     def _page(self, query):
         prefix, after, size = query["prefix"][0], query.get("after", [""])[0], int(query["page"][0])
