--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -70,7 +70,7 @@
                     await self.decide(slot)
                 except StoreError as problem:
                     debug("allocation_failed", slot=slot, error=problem)
-                except Exception as problem:  # admission must never end the term of a leader that can place
+                except Exception as problem:  # noqa: BLE001 - admission must never end the term of a leader that can place
                     error("allocation_failed", slot=slot, error=repr(problem))
             await asyncio.sleep(self.clock.length_s / TICKS)
 
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -118,7 +118,7 @@
                 fastavro.writer(file, SCHEMA, rows, codec=CODEC)
             for old in log_files(self.directory)[:-FILES]:
                 os.unlink(old)
-        except Exception as problem:  # the log must never harm what it tells of
+        except Exception as problem:  # noqa: BLE001 - the log must never harm what it tells of
             error("decision_log_failed", error=repr(problem))
 
     def _current(self) -> str:
--- a/src/passrock/io/http_server.py
+++ b/src/passrock/io/http_server.py
@@ -229,7 +229,7 @@
         request = Request(method, path, b"".join(self._body))
         try:
             result = self.server.handler(request)
-        except Exception as problem:
+        except Exception as problem:  # noqa: BLE001 - whatever a handler raises is an answer of 500
             error("request_handler_failed", path=path[:LOGGED_PATH_LIMIT], error=repr(problem))
             result = Response(500)
         if isinstance(result, Response):
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -56,7 +56,7 @@
     try:
         with open(path, encoding="utf-8") as file:
             return hcl2.load(file)
-    except Exception as error:  # the parser raises many kinds, all of which mean an unreadable file
+    except Exception as error:  # noqa: BLE001 - the parser raises many kinds, all of which mean an unreadable file
         faults.append(f"{path}: {' '.join(str(error).split())[:PARSER_ERROR_LIMIT]}")
         return {}
 
