--- a/tests/test_admission_report.py
+++ b/tests/test_admission_report.py
@@ -2,6 +2,7 @@
 
 import json
 import sys
+from pathlib import Path
 
 import pytest
 
@@ -104,10 +105,7 @@
 def test_a_damaged_log_says_where_it_stops(spoil, whole, tmp_path, capsys):
     write(tmp_path, [decision(slot) for slot in range(3 * BATCH)])
     (path,) = log_files(str(tmp_path))
-    with open(path, "rb") as file:
-        data = file.read()
-    with open(path, "wb") as file:
-        file.write(spoil(data))
+    Path(path).write_bytes(spoil(Path(path).read_bytes()))
     assert main(["admission", "report", str(tmp_path), "--json"]) == 1
     out, err = capsys.readouterr()
     assert json.loads(out)["slots"] in (whole, whole - BATCH)  # a cut may fall just behind a block's mark
@@ -117,11 +115,9 @@
 def test_a_changed_byte_is_noticed(tmp_path, capsys):
     write(tmp_path, [decision(slot) for slot in range(BATCH)])
     (path,) = log_files(str(tmp_path))
-    with open(path, "rb") as file:
-        data = file.read()
+    data = Path(path).read_bytes()
     for at in range(len(data) // 2, len(data), 7):
-        with open(path, "wb") as file:
-            file.write(data[:at] + bytes([data[at] ^ 0x15]) + data[at + 1 :])
+        Path(path).write_bytes(data[:at] + bytes([data[at] ^ 0x15]) + data[at + 1 :])
         code = main(["admission", "report", path, "--json"])
         report = json.loads(capsys.readouterr().out)
         assert code == 1 or report["slots"] == BATCH  # the last mark alone may be spoilt without loss
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -394,7 +394,7 @@
 
 def read_avro(path):
     """Schema, compression and rows, as any tool for such files reads them."""
-    with open(path, "rb") as file:
+    with Path(path).open("rb") as file:
         reader = fastavro.reader(file)
         return reader.metadata, reader.codec, list(reader)
 
