--- a/src/passrock/admission/controller/allocation_store.py
+++ b/src/passrock/admission/controller/allocation_store.py
@@ -59,9 +59,7 @@
             complete = [page for page in pages if page is not None and page.mod_revision == head.mod_revision]
             if len(complete) < len(pages):
                 return  # the others follow
-            allocation = decode_allocation([page.value for page in complete])
-            if allocation.slot != slot:
-                raise UnreadableAllocationError(f"it is that of slot {allocation.slot}")
+            allocation = _decode_for_slot(slot, complete)
         except UnreadableAllocationError as problem:
             error("allocation_unreadable", key=head.key, error=problem)
             return
@@ -82,3 +80,11 @@
     def up_to(self, slot: int) -> list[StoredAllocation]:
         """Allocations of this slot and earlier ones, oldest first."""
         return [self._stored[number] for number in sorted(self._stored) if number <= slot]
+
+
+def _decode_for_slot(slot: int, pages: list[Entry]) -> Allocation:
+    """The allocation on these pages; raises UnreadableAllocationError when it is none, or of another slot."""
+    allocation = decode_allocation([page.value for page in pages])
+    if allocation.slot != slot:
+        raise UnreadableAllocationError(f"it is that of slot {allocation.slot}")
+    return allocation
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -144,8 +144,6 @@
     try:
         with open(path, "rb") as file:
             for row in fastavro.reader(file, SCHEMA):
-                if not isinstance(row, dict):
-                    raise ValueError("a row that is no decision")
                 decision = _decision(row)
                 count += 1
                 yield decision
@@ -155,7 +153,9 @@
         raise DecisionLogError(f"{path}: unreadable after {count} decisions: {problem}") from problem
 
 
-def _decision(row: dict[str, Any]) -> Decision:
+def _decision(row: object) -> Decision:
+    if not isinstance(row, dict):
+        raise TypeError("a row that is no decision")
     if row.pop("checksum") != _checksum(row):
         raise ValueError("a decision whose checksum doesn't match")
     flows = tuple(FlowOutcome(**flow) for flow in row.pop("flows"))
