--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -94,7 +94,8 @@
     assert (node_grants["x"].interactive, node_grants["x"].shared, node_grants["x"].total) == (4, 2, 20)
     assert (node_grants["y"].interactive, node_grants["y"].shared, node_grants["y"].total) == (2, 8, 10)
     granted = totals(node_grants)
-    assert granted["a_look"] >= 10 and granted["b_batch"] > 0  # half of what is granted, and no more takes all
+    assert granted["a_look"] >= 10
+    assert granted["b_batch"] > 0
 
 
 def test_a_small_flow_has_a_unit_at_each_controller():
@@ -116,7 +117,8 @@
         ).run()
         for flow, units in node_grants["x"].flows.items():
             served[flow] += units
-    assert min(served.values()) >= 1 and max(served.values()) <= 2
+    assert min(served.values()) >= 1
+    assert max(served.values()) <= 2
 
 
 def test_who_pauses_saves_nothing_up():
@@ -143,7 +145,9 @@
 def test_slots_of_the_time_of_day():
     clock = SlotClock(4.0)
     assert [clock.number(at) for at in (-0.001, 0.0, 3.999, 4.0)] == [-1, 0, 0, 1]
-    assert clock.elapsed(6.0) == 0.5 and clock.until(3, 6.0) == 6.0 and clock.until(1, 6.0) == 0.0
+    assert clock.elapsed(6.0) == 0.5
+    assert clock.until(3, 6.0) == 6.0
+    assert clock.until(1, 6.0) == 0.0
 
 
 def allocation(slot=7, incarnation=5, **flows):
@@ -165,7 +169,8 @@
         None,
     ]
     grants.restore(sources[0])
-    assert grants.consume(7, look, True) is None and grants.consume(7, batch, False).source is GrantSource.FLOW
+    assert grants.consume(7, look, True) is None
+    assert grants.consume(7, batch, False).source is GrantSource.FLOW
     assert grants.consume(8, batch, False) is None  # nothing was read for that slot
 
 
@@ -212,7 +217,8 @@
     table = DemandTable(8.0)
     assert [table.update(one, 3, 100.0) for one in reports] == taken
     assert table.demand(107.0)["n1"][Flow("a", "batch")].waiting == waiting
-    assert table.demand(109.0) == {} and table.incarnations()["n1"] in (5, 6)  # silent: its reserves are left
+    assert table.demand(109.0) == {}
+    assert table.incarnations()["n1"] in (5, 6)
 
 
 def test_demand_message_is_bounded_and_round():
@@ -220,7 +226,8 @@
     body = encode_demand(DemandReport("n1", 5, 1000, 1, 3, many))
     assert len(body) <= MESSAGE_BYTES
     read = decode_demand("n1", body)
-    assert read.omitted_flows + len(read.flows) == 2000 and Flow("team-1999", "batch" * 10) in read.flows
+    assert read.omitted_flows + len(read.flows) == 2000
+    assert Flow("team-1999", "batch" * 10) in read.flows
     small = report(a_batch=1)
     assert decode_demand("n1", encode_demand(small)) == small
 
@@ -259,7 +266,9 @@
     pages = encode_allocation(one, 4096)
     assert all(len(msgspec.json.encode(page)) <= 4096 for page in pages)
     read = decode_allocation(pages)
-    assert read.node_grants == one.node_grants and read.started == one.started and read.slot == one.slot
+    assert read.node_grants == one.node_grants
+    assert read.started == one.started
+    assert read.slot == one.slot
     assert read.service.flows[Flow("team-0700", "class-700")] == 100.0
     total = {node: grant.total for node, grant in one.node_grants.items()}
     shorten(one)
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -55,7 +55,8 @@
     """The check above fails where nobody goes first."""
     monkeypatch.setattr(StartWatch, "prioritized", lambda self, waits, now, limit: [])
     _, waits, _ = virtual_time.run(rare_starts(700.0, node_count=1))
-    assert waits.longest["low"] > WINDOW_S and waits.longest["tiny"] > WINDOW_S
+    assert waits.longest["low"] > WINDOW_S
+    assert waits.longest["tiny"] > WINDOW_S
 
 
 def test_a_new_leader_does_not_count_the_wait_anew():
@@ -70,7 +71,8 @@
 
     cluster, waits = virtual_time.run(main())
     assert cluster.checker.broken == []
-    assert len(waits.starts["low"]) > 5 and waits.longest["low"] <= WINDOW_S
+    assert len(waits.starts["low"]) > 5
+    assert waits.longest["low"] <= WINDOW_S
 
 
 @pytest.mark.parametrize(
@@ -103,7 +105,8 @@
         return outcomes, waits["kept"].obstacle.value, leader.leader_term.scheduler.overrides.prioritized
 
     outcomes, found, prioritized = virtual_time.run(main())
-    assert outcomes and found == obstacle
+    assert outcomes
+    assert found == obstacle
     assert "wk-600000" not in prioritized
 
 
@@ -127,7 +130,8 @@
         return len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
 
     served, answers, kept = virtual_time.run(main())
-    assert served > 0 and kept is None
+    assert served > 0
+    assert kept is None
     assert answers == (200, "queued", 422)
 
 
@@ -158,5 +162,7 @@
         return cluster, checker, waits
 
     cluster, checker, waits = virtual_time.run(main())
-    assert cluster.checker.broken == [] and checker.verify() == []
-    assert len(waits.starts["low"]) > 3 and waits.longest["low"] <= WINDOW_S
+    assert cluster.checker.broken == []
+    assert checker.verify() == []
+    assert len(waits.starts["low"]) > 3
+    assert waits.longest["low"] <= WINDOW_S
--- a/tests/test_admission_report.py
+++ b/tests/test_admission_report.py
@@ -84,7 +84,8 @@
     assert (report["slots"], report["first"], report["last"], report["leaders"]) == (35, 40.0, 176.0, ["n1", "n2"])
     low, look = report["flows"]
     assert (low["admitted"], low["refused"], low["waiting_jobs"], low["longest_wait_s"]) == (70, 175, 4, 176.0)
-    assert low["obstacles"] == {"others": 35} and look["started"] == 35
+    assert low["obstacles"] == {"others": 35}
+    assert look["started"] == 35
     assert main(["admission", "report", both[0], "--to", "1970-01-01T00:00:00+00:00"]) == 0
     assert "no decisions" in capsys.readouterr().out
     assert main(["admission", "report", both[0]]) == 0
@@ -109,7 +110,8 @@
     assert main(["admission", "report", str(tmp_path), "--json"]) == 1
     out, err = capsys.readouterr()
     assert json.loads(out)["slots"] in (whole, whole - BATCH)  # a cut may fall just behind a block's mark
-    assert path in err and "unreadable after" in err
+    assert path in err
+    assert "unreadable after" in err
 
 
 def test_a_changed_byte_is_noticed(tmp_path, capsys):
@@ -134,7 +136,8 @@
     most = 20_000
     write(tmp_path / "log", [decision(slot, leader=f"n{slot * 7919}") for slot in range(4000)], most)
     sizes = [(tmp_path / "log" / name).stat().st_size for name in log_files(str(tmp_path / "log"))]
-    assert len(sizes) <= FILES and sum(sizes) <= 1.5 * most
+    assert len(sizes) <= FILES
+    assert sum(sizes) <= 1.5 * most
     (tmp_path / "file").write_text("in the way")
     write(tmp_path / "file", [decision(1)])
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -116,7 +116,9 @@
         return cluster, checker, met, begin
 
     cluster, checker, met, begin = virtual_time.run(main())
-    assert met and checker.verify() == [] and cluster.checker.broken == []
+    assert met
+    assert checker.verify() == []
+    assert cluster.checker.broken == []
     assert max(checker.waits("wk-9", begin)) <= BOUND_S
     after = checker.allocation(slots_of(checker)[-1])
     assert after.slot > met[0] + 2
@@ -143,9 +145,11 @@
     first = next(one for one in after if one.term > before.term)
     assert checker.verify() == []
     served = set(before.service.flows)  # what one slot could not give to all, the others received
-    assert 0 < len(served) < 30 and first.settled >= before.settled
+    assert 0 < len(served) < 30
+    assert first.settled >= before.settled
     assert set(first.granted()) - served  # they come first under the next leader
-    assert first.service.flows and first.pacing_share <= 1.0
+    assert first.service.flows
+    assert first.pacing_share <= 1.0
 
 
 @pytest.mark.parametrize("trouble", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
@@ -173,7 +177,8 @@
         return cluster, checker, begin
 
     cluster, checker, begin = virtual_time.run(main())
-    assert checker.verify() == [] and cluster.checker.broken == []
+    assert checker.verify() == []
+    assert cluster.checker.broken == []
     assert max(checker.waits("wk-9", begin)) <= BOUND_S
 
 
@@ -194,7 +199,9 @@
         return checker, answers, before - after, under_way
 
     checker, answers, consumed, under_way = virtual_time.run(main())
-    assert all(answers) and len(checker.accepted_at) == 1 and checker.broken == []
+    assert all(answers)
+    assert len(checker.accepted_at) == 1
+    assert checker.broken == []
     assert consumed == 1
     assert under_way == [{}, {}, {}]
 
@@ -244,7 +251,8 @@
 
     checker, accepted, held = virtual_time.run(main())
     ((slot, _),) = checker.admitted
-    assert accepted and checker.verify() == []
+    assert accepted
+    assert checker.verify() == []
     assert slot >= held[0] // SLOT_S + 2  # in a later slot, by a grant of that one
 
 
@@ -270,8 +278,10 @@
         return cluster, checker, leader
 
     cluster, checker, leader = virtual_time.run(main())
-    assert checker.verify() == [] and cluster.checker.broken == []
-    assert checker.given_up == set() and max(checker.waits("wk-9")) <= BOUND_S + TAKEOVER_S
+    assert checker.verify() == []
+    assert cluster.checker.broken == []
+    assert checker.given_up == set()
+    assert max(checker.waits("wk-9")) <= BOUND_S + TAKEOVER_S
     assert checker.unmarked > 0
     assert not leader.node.leadership.leading or keys.ALLOCATION not in leader.node.replica.prefixes
 
@@ -287,7 +297,8 @@
         return checker, node.peers.heartbeat(), records
 
     checker, view, records = virtual_time.run(main())
-    assert checker.pages == {} and checker.unmarked == 1
+    assert checker.pages == {}
+    assert checker.unmarked == 1
     assert b"extensions" not in frame(view)
     assert all(GRANT_REFERENCE not in record for record in records if isinstance(record, dict))
 
@@ -393,7 +404,8 @@
 
     checker, accepted, woke = virtual_time.run(main(stale=False))
     ((slot, _),) = checker.admitted
-    assert accepted and slot >= woke
+    assert accepted
+    assert slot >= woke
     checker, _, woke = virtual_time.run(main(stale=True))
     assert all(
         slot >= woke for slot, _ in checker.admitted
@@ -451,9 +463,11 @@
         return checker, kept, cluster
 
     checker, kept, cluster = virtual_time.run(main())
-    assert checker.verify() == [] and cluster.state.oversized == 0
+    assert checker.verify() == []
+    assert cluster.state.oversized == 0
     assert any(keys.allocation_slot(key)[1] > 0 for key in checker.pages)  # there were several pages
-    assert len(kept) <= 3 and min(kept) >= max(slots_of(checker)) - 2
+    assert len(kept) <= 3
+    assert min(kept) >= max(slots_of(checker)) - 2
 
 
 def test_settings_that_reserve_nothing_still_admit():
@@ -466,4 +480,5 @@
         return checker
 
     checker = virtual_time.run(main())
-    assert checker.verify() == [] and checker.given_up == set()
+    assert checker.verify() == []
+    assert checker.given_up == set()
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -77,11 +77,14 @@
     It once went by a majority's view of the service and the term alone, and kept cancelled tasks alive.
     """
     cluster, confirmed, known, survivors, led, starts = virtual_time.run(gap(seed, trouble, pause))
-    assert confirmed and not known  # another controller confirmed it, and the leader's copy did not have it
+    assert confirmed
+    assert not known
     assert cluster.checker.broken == []
     assert not cluster.checker.present[("wk-000000", 0)]
     if lives_on:
-        assert led and survivors and starts == 4  # nobody else's tasks paid for it
+        assert led
+        assert survivors
+        assert starts == 4
 
 
 def test_gap_after_a_confirmation_by_the_leader_itself():
@@ -107,6 +110,9 @@
         return cluster, confirmed, known, led
 
     cluster, confirmed, known, led = virtual_time.run(main())
-    assert confirmed and not known and led
-    assert cluster.checker.broken == [] and not cluster.checker.present[("wk-000000", 0)]
+    assert confirmed
+    assert not known
+    assert led
+    assert cluster.checker.broken == []
+    assert not cluster.checker.present[("wk-000000", 0)]
     assert cluster.checker.starts == 4
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -40,7 +40,8 @@
         async def get(key, timeout=1.5):
             answer = await read(key, timeout=timeout)
             if key == "p/j/wk-000000":
-                assert answer[0] is not None and await cluster.cancel("wk-000000", third)
+                assert answer[0] is not None
+                assert await cluster.cancel("wk-000000", third)
                 while "p/f/wk-000000" not in cluster.state.data:
                     await asyncio.sleep(0.1)
             return answer
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -181,7 +181,8 @@
     connection = PeerConnection(lambda _, heartbeat: received.append(heartbeat))
     for piece in (data[:3], data[3:17], data[17:]):
         connection.data_received(piece)
-    assert len(received) == 1 and connection.buffer == b""
+    assert len(received) == 1
+    assert connection.buffer == b""
     return received[0]
 
 
@@ -372,7 +373,8 @@
     pages = encode_allocation(make_allocation(spelt("records/allocation")), 300)
     assert unpacked(pages) == unpacked(expected) == golden("records/allocation.msgpack")
     head = pages[0]
-    assert (list(head), head["v"], head["pages"]) == (["v", "pages", "z"], 1, len(pages)) and len(pages) > 2
+    assert (list(head), head["v"], head["pages"]) == (["v", "pages", "z"], 1, len(pages))
+    assert len(pages) > 2
     assert all(list(page) == ["z"] and len(page["z"]) <= 100 for page in pages[1:])
 
 
@@ -538,7 +540,8 @@
     )
     harness.job_table.cancel(other, 50.0)
     queue = commit_queue(state_client(http), harness.job_table)
-    assert await queue.commit(queue.build(12)) and await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build(12))
 
 
 async def withdraw_a_job(http):
@@ -750,7 +753,8 @@
         return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
 
     answer = virtual_time.run(main())
-    assert answer.status == 200 and answer.body == golden(f"users/{fixture}.cbor")
+    assert answer.status == 200
+    assert answer.body == golden(f"users/{fixture}.cbor")
 
 
 def test_golden_submission_gets_the_golden_answer(wall_clock):
@@ -760,7 +764,8 @@
         return await node.handle(Request("POST", "/v2/runs", golden("users/submission_known_team.cbor")))
 
     answer = virtual_time.run(main())
-    assert answer.status == 201 and answer.body == golden("users/accepted_job.cbor")
+    assert answer.status == 201
+    assert answer.body == golden("users/accepted_job.cbor")
 
 
 @pytest.mark.parametrize(("key", "place"), [("p/f/wk-4071", "done"), ("p/f/wk-4072", "cancelled")])
@@ -785,7 +790,8 @@
         return answer, dict(shown.finals)
 
     answer, finals = virtual_time.run(main())
-    assert answer.status == 200 and answer.body == golden(f"users/{place}_job.cbor")
+    assert answer.status == 200
+    assert answer.body == golden(f"users/{place}_job.cbor")
     assert finals == {job_id: place}
 
 
@@ -866,7 +872,8 @@
     body = cbor2.loads(body)
     texts = [change["v"].pop("z") for change in body["apply"] if "set" in change]
     assert [[method, path, body]] == [list(row.values()) for row in spelt("requests/allocation")]
-    assert decode_allocation([{**body["apply"][0]["v"], "z": texts[0]}]).slot == 4712 and version == 4711
+    assert decode_allocation([{**body["apply"][0]["v"], "z": texts[0]}]).slot == 4712
+    assert version == 4711
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -57,9 +57,8 @@
     cluster.state.handle = counted
     evaluations = leader.leader_term.evaluations.finished_count
     await asyncio.sleep(QUIET_S)
-    assert (
-        leader.leader_term.evaluations.finished_count > evaluations and cluster.checker.starts >= 30
-    )  # the minute was one of a leader with work placed
+    assert leader.leader_term.evaluations.finished_count > evaluations
+    assert cluster.checker.starts >= 30
     return requests, standings is scheduler.queue.guaranteed
 
 
@@ -76,7 +75,8 @@
     worker = next(one for one in cluster.workers.values() if len(one.tasks) == 2)
     body = worker.report()
     answer, calls = calls_of(leader.handle, Request("POST", "/checkin", body))
-    assert isinstance(answer, Response) and answer.status == 200  # answered at once: nothing had changed
+    assert isinstance(answer, Response)
+    assert answer.status == 200
     _, pass_calls = calls_of(
         leader.leader_term.scheduler.run, leader.leader_term.inventory.health.observing_since + QUIET_S
     )
--- a/tests/test_large_jobs.py
+++ b/tests/test_large_jobs.py
@@ -38,4 +38,5 @@
 def test_the_largest_job_gets_the_whole_fleet(fields):
     cluster, took = virtual_time.run(largest_job(fields, 200))
     assert cluster.checker.broken == []
-    assert took is not None and took < SPREAD_S
+    assert took is not None
+    assert took < SPREAD_S
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -75,7 +75,8 @@
     change(table, path, value)
     faults = []
     parse_settings(table, OperatorSettings(), faults)
-    assert faults and any(path.split(".")[-1] in fault or path.split(".")[0] in fault for fault in faults)
+    assert faults
+    assert any(path.split(".")[-1] in fault or path.split(".")[0] in fault for fault in faults)
 
 
 def test_every_fault_is_reported_with_its_path_in_the_order_of_reading(tmp_path):
@@ -139,7 +140,8 @@
     assert "warning: deployment.resources.cpu" in capsys.readouterr().err
     assert main(["check-config", str(bad)]) == 2
     err = capsys.readouterr().err
-    assert "node:" in err and "lease_s" in err
+    assert "node:" in err
+    assert "lease_s" in err
     assert main(["--config", str(tmp_path / "missing.toml")]) == 2
     assert main([]) == 2
     with pytest.raises(SystemExit) as stop:
@@ -262,14 +264,17 @@
 @pytest.mark.parametrize("path", PLATFORM)
 def test_the_page_has_the_ranges_and_defaults_of_the_platforms_file(path):
     unit, limits, default, effect, restart = PLATFORM[path]
-    assert unit and effect and restart == "yes"
+    assert unit
+    assert effect
+    assert restart == "yes"
     assert (changed(path, None) == []) == (default != "")
     assert default in ("", "empty", "0")  # the only defaults that the reader knows: see the next test
     first, *rest = limits.split()
     if unit == "IPv4:port":
         assert limits == "1 to 65535"
         assert changed(path, "10.0.0.1:1") == changed(path, "10.0.0.1:65535") == []
-        assert changed(path, "10.0.0.1:0") and changed(path, "10.0.0.1:65536")
+        assert changed(path, "10.0.0.1:0")
+        assert changed(path, "10.0.0.1:65536")
     elif first in ("not", "any"):
         assert (changed(path, [] if unit == "names" else "") == []) == (first == "any")
         assert changed(path, 5)
@@ -304,7 +309,9 @@
 )
 def test_the_page_has_the_ranges_and_defaults_of_the_operators_files(rows, ranges, defaults):
     for name, (unit, limits, default, effect, restart) in rows.items():
-        assert unit and effect and restart == "yes"
+        assert unit
+        assert effect
+        assert restart == "yes"
         if name in ranges:
             low, high = ranges[name]
             assert limits == f"{low:g} to {high:.10g}", name
@@ -313,7 +320,8 @@
             assert (limits, default, getattr(defaults, name)) == ("any", "empty", "")
         else:
             low, high = admission.WEIGHTS
-            assert limits == f"{low:g} to {high:g}" and getattr(defaults, name) == {}
+            assert limits == f"{low:g} to {high:g}"
+            assert getattr(defaults, name) == {}
 
 
 def test_the_operators_example_files_hold_all_settings_with_their_defaults():
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -63,7 +63,8 @@
         return before, set(cluster.workers), running, cluster.checker, starts
 
     before, after, running, checker, starts = virtual_time.run(main())
-    assert before == after and len(running) == 6
+    assert before == after
+    assert len(running) == 6
     assert (checker.present, checker.starts, checker.broken) == (running, starts, [])
 
 
@@ -134,7 +135,8 @@
 
     machine, checker = virtual_time.run(main())
     assert checker.broken == []
-    assert checker.present[("wk-000001", 0)] and machine not in dict(checker.present[("wk-000001", 0)])
+    assert checker.present[("wk-000001", 0)]
+    assert machine not in dict(checker.present[("wk-000001", 0)])
 
 
 @pytest.mark.parametrize(
@@ -165,7 +167,8 @@
         return starts, cluster.checker
 
     starts, checker = virtual_time.run(main())
-    assert starts == 4 and checker.broken == []
+    assert starts == 4
+    assert checker.broken == []
     assert checker.starts == (starts if live_on else 2 * starts)
     assert all(checker.present[(f"wk-{number:06d}", 0)] for number in range(4))
 
@@ -222,9 +225,12 @@
         return cluster, status, answer, left
 
     cluster, status, answer, left = virtual_time.run(main())
-    assert cluster.checker.broken == [] and cluster.state.oversized == 0
-    assert status == 200 and answer["done"] >= 20
-    assert left == ["p/f/wk-000001"] and cluster.checker.confirmed["wk-000001"][1] == "cancelled"
+    assert cluster.checker.broken == []
+    assert cluster.state.oversized == 0
+    assert status == 200
+    assert answer["done"] >= 20
+    assert left == ["p/f/wk-000001"]
+    assert cluster.checker.confirmed["wk-000001"][1] == "cancelled"
 
 
 def test_malformed_answers_never_end_the_process():
@@ -249,7 +255,8 @@
         return cluster, [sim.work.done() for sim in cluster.nodes.values()]
 
     cluster, ended = virtual_time.run(main())
-    assert cluster.checker.broken == [] and cluster.done_users == 2
+    assert cluster.checker.broken == []
+    assert cluster.done_users == 2
     assert ended == [False, False, False]
 
 
@@ -297,6 +304,7 @@
 
 def test_hundreds_of_machines_through_mass_restart_freeze_loss_and_outage():
     cluster, up = virtual_time.run(hundreds(1))
-    assert cluster.checker.broken == [] and cluster.state.oversized == 0
+    assert cluster.checker.broken == []
+    assert cluster.state.oversized == 0
     assert up == 120  # every replica is up again
     assert cluster.done_users == 60  # and every other job has ended
