--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -22,7 +22,7 @@
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.demand_message import MalformedDemandError, decode_demand, encode_demand
 from passrock.controller import keys
-from passrock.controller.intake import Refusal
+from passrock.controller.admission_controller import Refusal
 from passrock.controller.leader_term import LeaderTerm
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
@@ -184,7 +184,7 @@
         )
         term.evaluation_loop.subscribe(dispatch.evaluated)
         self.dispatch = dispatch
-        self._deciding = asyncio.ensure_future(self._decide(term, allocator))
+        self._deciding = asyncio.create_task(self._decide(term, allocator))
 
     def _keep_decision(self, decision: Decision) -> None:
         if self.log is not None:
--- a/src/passrock/admission/controller/submission_admitter.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -14,7 +14,7 @@
 from passrock.admission.core.grants import ConsumedGrant, GrantLedger
 from passrock.admission.core.slots import SlotClock
 from passrock.controller import keys
-from passrock.controller.intake import Refusal
+from passrock.controller.admission_controller import Refusal
 from passrock.core.concurrency_limiter import MAX_RETRY_AFTER_S, MIN_RETRY_AFTER_S
 from passrock.core.model import JobSpec
 from passrock.core.records import AdmissionToken
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -119,7 +119,7 @@
         )
         if changed:
             self.stop()  # this round's records stand for those not yet written
-            self._writing = asyncio.ensure_future(self._write(changed))
+            self._writing = asyncio.create_task(self._write(changed))
 
     # -- the round ----------------------------------------------------------------------------------
 
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -67,7 +67,8 @@
         self._build_tables(settings)
         self._build_decisions(settings)
         self._build_actions(settings, store, cloud)
-        self._build_loops(settings)
+        self._build_evaluation(settings)
+        self._build_event_handlers(settings)
 
     # -- construction: tables, then what decides on them, then what acts --------------------------------
 
@@ -112,7 +113,7 @@
             settings, store, leadership, self.job_table, self.inventory, self.catalog, self.scheduler
         )
 
-    def _build_loops(self, settings: Settings) -> None:
+    def _build_evaluation(self, settings: Settings) -> None:
         self.failure_detector = FailureDetector(
             settings,
             self.job_table,
@@ -141,6 +142,8 @@
             self.commit_queue,
             self.evaluations,
         )
+
+    def _build_event_handlers(self, settings: Settings) -> None:
         self.state_events = StateEvents(
             self.cancellations,
             self.job_table,
@@ -166,7 +169,7 @@
 
     def start(self) -> None:
         """Begin the term's work."""
-        self.tasks = [asyncio.ensure_future(self._resign_on_failure(self._run()))]
+        self.tasks = [asyncio.create_task(self._resign_on_failure(self._run()))]
 
     def stop(self) -> None:
         """End it; nothing of the term acts any more."""
@@ -201,7 +204,7 @@
             await asyncio.sleep(MACHINE_TYPES_POLL_S)
         self._load()
         self.tasks += [
-            asyncio.ensure_future(self._resign_on_failure(work))
+            asyncio.create_task(self._resign_on_failure(work))
             for work in (
                 self.commit_queue.run(),
                 self.provisioner.poll_machine_list(),
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -110,7 +110,7 @@
             self._spawn(self._provision(entry.key[len(keys.PROVISIONING_INTENT) :], intent, stored=True))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(work)
+        task = asyncio.create_task(work)
         self._requests.add(task)
         task.add_done_callback(self._requests.discard)
 
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -70,7 +70,7 @@
         self.queue.append(PendingSubmission(spec, admission_token, [future]))
         if not self.draining:
             self.draining = True
-            task = asyncio.ensure_future(self._drain())
+            task = asyncio.create_task(self._drain())
             task.add_done_callback(_retrieve_exception)
         return await future
 
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable
 
 from passrock.controller import keys
-from passrock.controller.intake import AdmissionController, Refusal
+from passrock.controller.admission_controller import AdmissionController, Refusal
 from passrock.controller.job_lookup import JobLookup, UnavailableError
 from passrock.controller.read_fence import READ_WAIT_S
 from passrock.controller.replica import Replica
