--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -29,7 +29,7 @@
 from passrock.core.model import Team
 from passrock.core.objectives import Objective
 
-AIMS = (
+OBJECTIVES = (
     Objective("wait", "look", 20.0, 0.9),
     Objective("wait", "train", 70.0, 0.9),
     Objective("finished", "quick", 5.0, 0.9),
@@ -42,7 +42,7 @@
 
 
 def weights(teams=("a", "b"), team_weights=None, class_weights=None, ratio=1.5):
-    return Weights({name: team(name) for name in teams}, AIMS, team_weights or {}, class_weights or {}, ratio)
+    return Weights({name: team(name) for name in teams}, OBJECTIVES, team_weights or {}, class_weights or {}, ratio)
 
 
 def wanted(**counts):
@@ -61,19 +61,15 @@
 @pytest.mark.parametrize(
     ("capacity", "demand", "team_weights", "expected"),
     [
-        ({"x": 10}, {"x": wanted(a_batch=3, b_batch=2)}, {}, {"a_batch": 3, "b_batch": 2}),  # room for all
+        ({"x": 10}, {"x": wanted(a_batch=3, b_batch=2)}, {}, {"a_batch": 3, "b_batch": 2}),  # capacity for all
         ({"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, {}, {"a_batch": 5, "b_batch": 5}),
         ({"x": 10}, {"x": wanted(a_batch=90, b_batch=2)}, {}, {"a_batch": 8, "b_batch": 2}),  # max-min
         ({"x": 12}, {"x": wanted(a_batch=90, b_batch=90)}, {"a": 8.0}, {"a_batch": 8, "b_batch": 4}),
         ({"x": 12}, {"x": wanted(a_one=90, a_two=90, b_batch=90)}, {}, {"a_one": 3, "a_two": 3, "b_batch": 6}),
         ({"x": 10}, {"x": wanted(a_tiny=9000, a_huge=1)}, {}, {"a_tiny": 9, "a_huge": 1}),  # one job beside thousands
         ({"x": 5, "y": 5}, {"x": wanted(a_batch=90), "y": wanted(b_batch=90)}, {}, {"a_batch": 5, "b_batch": 5}),
-        (
-            {"x": 9, "y": 9},
-            {"x": wanted(a_batch=90, b_batch=90)},
-            {},
-            {"a_batch": 5, "b_batch": 4},
-        ),  # y hears nothing
+        # y receives no submissions
+        ({"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=90)}, {}, {"a_batch": 5, "b_batch": 4}),
         ({"x": 8}, {"x": wanted(a_batch=9, gone_batch=9)}, {}, {"a_batch": 4, "gone_batch": 4}),  # a removed team
     ],
 )
@@ -82,9 +78,8 @@
         capacity, demand, ReceivedService(), weights(team_weights=team_weights), PLAIN
     ).run()
     assert totals(node_grants) == expected
-    assert {
-        node: grant.total for node, grant in node_grants.items()
-    } == capacity  # what nobody asks for is in reserve
+    # capacity without demand is in reserve
+    assert {node: grant.total for node, grant in node_grants.items()} == capacity
 
 
 def test_reserves_come_first_and_count_in_the_sums():
@@ -121,7 +116,7 @@
     assert max(served.values()) <= 2
 
 
-def test_who_pauses_saves_nothing_up():
+def test_an_idle_flow_accumulates_no_credit():
     service, one = ReceivedService(), weights()
     for _ in range(50):
         FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90)}, service, one, PLAIN).run()
@@ -129,7 +124,7 @@
     assert totals(node_grants) == {"a_batch": 5, "b_batch": 5}
 
 
-def test_what_was_not_used_is_given_back():
+def test_unused_grants_are_credited_back():
     service, one = ReceivedService(), weights()
     service.charge(Flow("a", "batch"), 6, one)
     service.charge(Flow("a", "batch"), -6, one)
@@ -137,7 +132,7 @@
 
 
 @pytest.mark.parametrize(("ratio", "expected"), [(1.0, {"look"}), (1.5, {"look"}), (4.0, {"look", "train"})])
-def test_interactive_classes_are_those_with_the_shortest_aims(ratio, expected):
+def test_interactive_classes_are_those_with_the_shortest_objectives(ratio, expected):
     one = weights(ratio=ratio)
     assert {name for name in ("look", "train", "quick", "batch") if one.is_interactive(Flow("a", name))} == expected
 
@@ -159,8 +154,10 @@
     grants = GrantLedger("n1", 5)
     grants.add(allocation(a_batch=1))
     grants.add(allocation(a_batch=50))  # a slot has one allocation for ever
-    batch, look = Flow("a", "batch"), Flow("a", "look")
-    sources = [grants.consume(7, flow, flow is look) for flow in (batch, look, batch, look, batch)]
+    batch, interactive = Flow("a", "batch"), Flow("a", "look")
+    sources = [
+        grants.consume(7, flow, flow is interactive) for flow in (batch, interactive, batch, interactive, batch)
+    ]
     assert [one and one.source for one in sources] == [
         GrantSource.FLOW,
         GrantSource.INTERACTIVE,
@@ -169,12 +166,12 @@
         None,
     ]
     grants.restore(sources[0])
-    assert grants.consume(7, look, True) is None
+    assert grants.consume(7, interactive, True) is None
     assert grants.consume(7, batch, False).source is GrantSource.FLOW
     assert grants.consume(8, batch, False) is None  # nothing was read for that slot
 
 
-def test_grants_of_a_former_life_are_not_ones_own():
+def test_grants_of_a_former_incarnation_are_not_used():
     grants = GrantLedger("n1", 6)
     grants.add(allocation(incarnation=5, a_batch=9))
     assert grants.consume(7, Flow("a", "batch"), False) is None
@@ -191,7 +188,7 @@
     counter.accepted_anywhere("two")  # by another controller
     assert counter.waiting(flow) == 0
     counter.record_refused("three", flow, 6, 18.0, 20.0)
-    assert flow not in counter.demand(8, 21.0)  # not heard of again
+    assert flow not in counter.demand(8, 21.0)  # not submitted again
 
 
 def report(node="n1", incarnation=5, started=1000, number=1, term=3, **flows):
@@ -199,29 +196,26 @@
 
 
 @pytest.mark.parametrize(
-    ("reports", "taken", "waiting"),
+    ("reports", "accepted", "waiting"),
     [
         ([report(a_batch=1), report(number=2, a_batch=2)], [True, True], 2),
         ([report(number=2, a_batch=2), report(a_batch=1)], [True, False], 2),  # out of order
         ([report(a_batch=1), report(a_batch=1)], [True, False], 1),  # twice
         ([report(number=9, a_batch=1), report(incarnation=6, started=2000, a_batch=4)], [True, True], 4),  # restarted
-        (
-            [report(incarnation=6, started=2000, a_batch=4), report(number=9, a_batch=1)],
-            [True, False],
-            4,
-        ),  # its former incarnation
+        # its former incarnation
+        ([report(incarnation=6, started=2000, a_batch=4), report(number=9, a_batch=1)], [True, False], 4),
         ([report(a_batch=1), report(number=2, term=2, a_batch=7)], [True, False], 1),  # of an older term
     ],
 )
-def test_reports_of_demand(reports, taken, waiting):
+def test_reports_of_demand(reports, accepted, waiting):
     table = DemandTable(8.0)
-    assert [table.update(one, 3, 100.0) for one in reports] == taken
+    assert [table.update(one, 3, 100.0) for one in reports] == accepted
     assert table.demand(107.0)["n1"][Flow("a", "batch")].waiting == waiting
     assert table.demand(109.0) == {}
     assert table.incarnations()["n1"] in (5, 6)
 
 
-def test_demand_message_is_bounded_and_round():
+def test_demand_message_is_bounded_and_round_trips():
     many = {Flow(f"team-{n}", "batch" * 10): FlowDemand(n, 1, 2, float(n)) for n in range(2000)}
     body = encode_demand(DemandReport("n1", 5, 1000, 1, 3, many))
     assert len(body) <= MESSAGE_BYTES
@@ -277,7 +271,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda pages: pages[:-1],
         lambda pages: [{**pages[0], "v": 2}, *pages[1:]],
@@ -289,10 +283,10 @@
         lambda pages: encode_allocation(allocation(a_batch=-1), 4096),
     ],
 )
-def test_unreadable_allocations(spoil):
+def test_unreadable_allocations(damage):
     pages = encode_allocation(large_allocation(300), 1024)
     with pytest.raises(UnreadableAllocationError):
-        decode_allocation(spoil(pages))
+        decode_allocation(damage(pages))
 
 
 def test_jobs_are_counted_once_in_their_slot():
@@ -307,7 +301,7 @@
 
 
 @pytest.mark.parametrize(
-    ("jobs", "starts", "favoured"),
+    ("jobs", "starts", "prioritized"),
     [
         ([waiting("j", "low", 0.0)], [("high", 250.0)], ["j"]),
         ([waiting("j", "low", 100.0)], [("high", 250.0)], []),  # not for long
@@ -320,12 +314,12 @@
         ([waiting("j", "low", 5.0), waiting("k", "other", 0.0)], [("high", 250.0)], ["k", "j"]),  # longest first
     ],
 )
-def test_who_goes_first_after_a_long_wait(jobs, starts, favoured):
+def test_which_jobs_are_prioritized_after_a_long_wait(jobs, starts, prioritized):
     watch = StartWatch(200.0)
     for flow, at in starts:
         watch.note_start(Flow("a", flow), at)
     waits = watch.look(jobs)
-    assert [wait.oldest for wait in watch.prioritized(waits, 300.0, 5)] == favoured
+    assert [wait.oldest for wait in watch.prioritized(waits, 300.0, 5)] == prioritized
 
 
 def test_last_starts_go_from_leader_to_leader():
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: a class that stands low has a start in every window, under a flood of higher ones that never ends."""
+"""Dispatch: a low-priority class has a start in every window, under an endless flood of higher ones."""
 
 import asyncio
 
@@ -16,8 +16,8 @@
 HIGH, LOW, LARGE = 100_000, 500_000, 600_000
 
 
-async def full_fleet(seed, for_s, admission=ADMISSION, **options):
-    """Two machines that can't be more, and production work for three times as many that never ends."""
+async def saturated_cluster(seed, for_s, admission=ADMISSION, **options):
+    """Two machines without scale-out, and endless production work for three times as many."""
     cluster, checker = overloaded_cluster(seed, admission, machines=2, capacity=(0, 0), zones=("a",), **options)
     waits = ClassWaits(cluster, checker)
     cluster.spawn(waits.run())
@@ -31,7 +31,7 @@
 
 
 async def rare_starts(for_s, admission=ADMISSION, **options):
-    cluster, checker, waits = await full_fleet(1, for_s, admission, **options)
+    cluster, checker, waits = await saturated_cluster(1, for_s, admission, **options)
     tiny = SubmissionLoad(cluster, checker, 700_000, shelfmark="tiny", precedence="low", desk="t1")
     cluster.spawn(tiny.run(0.1, for_s - 30.0))
     large = cluster.job(LARGE, shelfmark="large", desk="t1", format="group", volumes=2, cards=2.0, precedence="low")
@@ -42,28 +42,29 @@
 
 
 def test_every_class_starts_in_every_window_for_an_hour():
-    """Production work fills the fleet without end; one gang takes the whole fleet, beside many tiny jobs."""
+    """Production work fills the machines without end; one gang needs all of them, beside many tiny jobs."""
     for_s = 3600.0
     cluster, waits, begin = virtual_time.run(rare_starts(for_s, node_count=1))
     assert cluster.checker.broken == []
-    assert len(waits.starts["high"]) > 0.1 * for_s  # of 0.2 that the fleet could run: what goes first is little
+    # of 0.2 that the machines could run: little is prioritized before it
+    assert len(waits.starts["high"]) > 0.1 * for_s
     assert all(waits.longest[name] <= WINDOW_S for name in ("high", "low", "tiny", "large"))
-    assert waits.starts["large"][0] - begin <= WINDOW_S  # the whole fleet has to come free for it
+    assert waits.starts["large"][0] - begin <= WINDOW_S  # all machines have to be free for it at once
 
 
 def test_without_dispatch_a_low_class_starves(monkeypatch):
-    """The check above fails where nobody goes first."""
+    """The check above fails where no class is prioritized."""
     monkeypatch.setattr(StartWatch, "prioritized", lambda self, waits, now, limit: [])
     _, waits, _ = virtual_time.run(rare_starts(700.0, node_count=1))
     assert waits.longest["low"] > WINDOW_S
     assert waits.longest["tiny"] > WINDOW_S
 
 
-def test_a_new_leader_does_not_count_the_wait_anew():
+def test_a_new_leader_does_not_restart_the_waiting_time():
     """Leaders that change more often than a class may wait."""
 
     async def main():
-        cluster, _, waits = await full_fleet(2, 1000.0)
+        cluster, _, waits = await saturated_cluster(2, 1000.0)
         for _ in range(20):
             await asyncio.sleep(35.0)
             await cluster.crash([await cluster.wait_for_leader()], 2.0)
@@ -82,9 +83,9 @@
         ({"desk": "t1", "cards": 2.0, "volumes": 4, "format": "group"}, "team_limit"),
     ],
 )
-def test_what_can_not_be_served_is_told_apart_from_what_starves(fields, obstacle):
+def test_jobs_that_cannot_start_are_not_counted_as_starving(fields, obstacle):
     async def main():
-        cluster, checker, _ = await full_fleet(3, 200.0, limit=4.0 if obstacle == "team_limit" else 8.0)
+        cluster, checker, _ = await saturated_cluster(3, 200.0, limit=4.0 if obstacle == "team_limit" else 8.0)
         cluster.zones = ("a", "b")
         cluster.cloud.types["box"]["branches"] = ["a", "b"]
         if obstacle == "team_limit":
@@ -110,11 +111,11 @@
     assert "wk-600000" not in prioritized
 
 
-def test_a_team_that_is_taken_out_while_its_work_waits():
+def test_removal_of_a_team_whose_jobs_wait():
     """Its jobs stay known and nothing more is started for them; the leader goes on with the others."""
 
     async def main():
-        cluster, checker, waits = await full_fleet(4, 120.0)
+        cluster, checker, waits = await saturated_cluster(4, 120.0)
         starts = waits.starts
         kept = cluster.job(LARGE, shelfmark="kept", desk="t2", precedence="low")
         assert await submit(cluster, checker, kept, run_s=5.0)
@@ -135,8 +136,8 @@
     assert answers == (200, "queued", 422)
 
 
-async def trouble_for_controllers(cluster, for_s):
-    """Crashes, standstills, cuts and outages of a few seconds, one after the other."""
+async def inject_controller_faults(cluster, for_s):
+    """Crashes, pauses, cuts and outages of a few seconds, one after the other."""
     until = cluster.now() + for_s
     while cluster.now() < until:
         await asyncio.sleep(cluster.rng.uniform(15.0, 45.0))
@@ -155,10 +156,10 @@
 
 
 @pytest.mark.parametrize("seed", range(20, 26))
-def test_windows_hold_through_trouble_for_the_controllers(seed):
+def test_windows_hold_through_controller_faults(seed):
     async def main():
-        cluster, checker, waits = await full_fleet(seed, 600.0)
-        await trouble_for_controllers(cluster, 540.0)
+        cluster, checker, waits = await saturated_cluster(seed, 600.0)
+        await inject_controller_faults(cluster, 540.0)
         return cluster, checker, waits
 
     cluster, checker, waits = virtual_time.run(main())
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -6,8 +6,8 @@
 from standins.admission_load import OBJECTIVES, AdmissionChecker, SubmissionLoad, note_starts
 from standins.loopback_cluster import ROOT, LoopbackCluster
 
-PATIENCE_S = 90.0  # far above what it takes; only a failure comes near it
-BATCH, LOOK = 100_000, 900_000
+TIMEOUT_S = 90.0  # far above what it takes; only a failure comes near it
+BATCH, INTERACTIVE = 100_000, 900_000
 
 
 async def flooded(folder):
@@ -20,13 +20,13 @@
     for name in cluster.nodes:
         await cluster.start(name)
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not checker.pages:
                 await asyncio.sleep(0.2)
             batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
-            look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
+            interactive = SubmissionLoad(cluster, checker, INTERACTIVE, shelfmark="look", precedence="prod")
             flood = cluster.spawn(batch.run(150.0, 12.0, run_s=0.5))
-            await look.run(2.0, 12.0, run_s=0.5)
+            await interactive.run(2.0, 12.0, run_s=0.5)
             await flood
             while any(job.startswith("wk-9") and job not in checker.got_in for job in checker.first_asked):
                 await asyncio.sleep(0.2)
@@ -45,6 +45,7 @@
     assert checker.unmarked == 0  # every job was admitted by a grant
     assert len({incarnation for _, incarnation in checker.admitted}) == 3  # at each controller
     asked = sum(job.startswith("wk-1") for job in checker.first_asked)
-    assert 0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < asked  # more than could be taken
-    main(["admission", "report", str(tmp_path / "log")])  # the processes were killed: what they had written is whole
+    assert 0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < asked  # more than could be admitted
+    # the processes were killed: the blocks that they had written are readable
+    main(["admission", "report", str(tmp_path / "log")])
     capsys.readouterr()
--- a/tests/test_admission_report.py
+++ b/tests/test_admission_report.py
@@ -1,4 +1,4 @@
-"""Settings, decision log and report of admission: every fault at once, and what is whole in a damaged log."""
+"""Settings, decision log and report of admission: all faults at once, and what a damaged log still yields."""
 
 import json
 import sys
@@ -75,7 +75,7 @@
     return log
 
 
-def test_report_tells_who_was_served_refused_and_waiting(tmp_path, capsys):
+def test_report_lists_admitted_refused_and_waiting(tmp_path, capsys):
     write(tmp_path / "one", [decision(slot) for slot in range(40)])
     write(tmp_path / "two", [decision(slot, term=3, leader="n2") for slot in range(30, 50)])
     both = [str(tmp_path / "one"), str(tmp_path / "two")]
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "whole"),
+    ("damage", "readable"),
     [
         (lambda data: data[: len(data) * 2 // 3], 2 * BATCH),
         (lambda data: data[: len(data) * 2 // 3] + bytes(50) + data[len(data) * 2 // 3 + 50 :], 2 * BATCH),
@@ -103,13 +103,13 @@
         (lambda data: b"junk" * 100, 0),
     ],
 )
-def test_a_damaged_log_says_where_it_stops(spoil, whole, tmp_path, capsys):
+def test_a_damaged_log_is_read_up_to_the_damage_and_reported(damage, readable, tmp_path, capsys):
     write(tmp_path, [decision(slot) for slot in range(3 * BATCH)])
     (path,) = log_files(str(tmp_path))
-    Path(path).write_bytes(spoil(Path(path).read_bytes()))
+    Path(path).write_bytes(damage(Path(path).read_bytes()))
     assert main(["admission", "report", str(tmp_path), "--json"]) == 1
     out, err = capsys.readouterr()
-    assert json.loads(out)["slots"] in (whole, whole - BATCH)  # a cut may fall just behind a block's mark
+    assert json.loads(out)["slots"] in (readable, readable - BATCH)  # a cut may fall just behind a block's mark
     assert path in err
     assert "unreadable after" in err
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -19,20 +19,19 @@
 from standins import virtual_time
 from standins.admission_load import ADMISSION, SLOT_S, SubmissionLoad, overloaded_cluster, submit
 
-BOUND_S = (
-    3 * SLOT_S
-)  # within which an interactive submission is admitted while the state service and a leader are there
-WARM_S = 14.0  # by then somebody leads and slots are decided
+# within which an interactive submission is admitted while the key-value store and a leader are available
+BOUND_S = 3 * SLOT_S
+WARM_S = 14.0  # by then there is a leader and slots are decided
 TAKEOVER_S = 10.0
-BATCH, LOOK = 100_000, 900_000
+BATCH, INTERACTIVE = 100_000, 900_000
 
 
 def flood(cluster, checker, rate=20.0, for_s=40.0, node=None):
     """Batch work at several times the rate that can be admitted, and some interactive work."""
     batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
-    look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
+    interactive = SubmissionLoad(cluster, checker, INTERACTIVE, shelfmark="look", precedence="prod")
     cluster.spawn(batch.run(rate, for_s, node=node))
-    cluster.spawn(look.run(0.25, for_s, node=node))
+    cluster.spawn(interactive.run(0.25, for_s, node=node))
 
 
 def slots_of(checker):
@@ -44,37 +43,37 @@
     return next(sim for sim in cluster.nodes.values() if sim.alive and sim.node.leadership.leading)
 
 
-def test_a_burst_that_one_controller_alone_hears():
-    """The others hear nothing; reports of it reach the leader late, twice and out of order."""
+def test_a_burst_at_a_single_controller():
+    """The others receive nothing; demand reports of it reach the leader late, twice and out of order."""
 
     async def main():
         cluster, checker = overloaded_cluster(1)
         await asyncio.sleep(WARM_S)
         leader = await cluster.wait_for_leader()
-        hears = next(name for name in cluster.nodes if name != leader)
+        receiver = next(name for name in cluster.nodes if name != leader)
         control = cluster.nodes[leader].node.admission
         received, copies = control.received, []
 
         def shuffled(node, data):
             received(node, data)
             copies.append(data)
-            if node == hears and len(copies) > 8:
+            if node == receiver and len(copies) > 8:
                 received(node, copies[-7])  # an old one after newer ones
                 received(node, data)
 
         control.received = shuffled
-        flood(cluster, checker, node=hears)
+        flood(cluster, checker, node=receiver)
         await asyncio.sleep(30.0)
         node_grants = checker.allocation(slots_of(checker)[-1]).node_grants
         await asyncio.sleep(60.0)
-        return checker, node_grants, hears
+        return checker, node_grants, receiver
 
-    checker, node_grants, hears = virtual_time.run(main())
+    checker, node_grants, receiver = virtual_time.run(main())
     assert checker.verify() == []
     assert len(checker.given_up) > 0  # more was asked than could be admitted
     assert max(checker.waits("wk-9")) <= BOUND_S
     batch = {node: [flow for flow in grant.flows if flow.job_class == "batch"] for node, grant in node_grants.items()}
-    assert [node for node, flows in batch.items() if flows] == [hears]  # where the demand is
+    assert [node for node, flows in batch.items() if flows] == [receiver]  # where the demand is
 
 
 @pytest.mark.parametrize("moment", ["before", "after", "answer_lost", "frozen"])
@@ -152,8 +151,8 @@
     assert first.pacing_share <= 1.0
 
 
-@pytest.mark.parametrize("trouble", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
-def test_state_service_troubles_for_several_slots(trouble):
+@pytest.mark.parametrize("fault", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
+def test_store_and_peer_faults_for_several_slots(fault):
     async def main():
         cluster, checker = overloaded_cluster(4)
         await asyncio.sleep(WARM_S)
@@ -161,17 +160,17 @@
         await asyncio.sleep(6.0)
         leader = leader_of(cluster).name
         follower = next(name for name in cluster.nodes if name != leader)
-        if trouble == "outage":
+        if fault == "outage":
             await cluster.outage(3 * SLOT_S)
-        elif trouble == "slow":
+        elif fault == "slow":
             cluster.state_delay = 0.4
             await asyncio.sleep(3 * SLOT_S)
             cluster.state_delay = 0.0
-        elif trouble == "peers":
+        elif fault == "peers":
             cluster.cuts.append(("peers", "all", cluster.now() + 4 * SLOT_S))
             await asyncio.sleep(4 * SLOT_S)
         else:
-            await cluster.refuse(leader if trouble == "refused_leader" else follower, 3 * SLOT_S)
+            await cluster.refuse(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
         begin = cluster.now() + TAKEOVER_S
         await asyncio.sleep(60.0)
         return cluster, checker, begin
@@ -190,7 +189,7 @@
         await asyncio.sleep((slot + 0.2) * SLOT_S - cluster.now())
         ledgers = [sim.node.admission.grants for sim in cluster.nodes.values()]
         before = sum(grants._remaining[slot].total for grants in ledgers)
-        spec = cluster.job(LOOK, shelfmark="look")
+        spec = cluster.job(INTERACTIVE, shelfmark="look")
         nodes = [*cluster.nodes, *cluster.nodes, "n0"]
         answers = await asyncio.gather(*(submit(cluster, checker, spec, node=name) for name in nodes))
         await asyncio.sleep(1.0)
@@ -207,19 +206,19 @@
 
 
 def test_a_known_job_needs_no_grant():
-    """A retry, a question and a cancellation are answered in slots in which nothing is granted."""
+    """A retry, a query and a cancellation are answered in slots in which nothing is granted."""
 
     async def main():
         cluster, checker = overloaded_cluster(6)
         await asyncio.sleep(WARM_S)
-        spec = cluster.job(LOOK, shelfmark="look")
+        spec = cluster.job(INTERACTIVE, shelfmark="look")
         assert await submit(cluster, checker, spec, run_s=100.0, node="n0")
         for sim in cluster.nodes.values():  # as after a restart: nothing can be admitted
             sim.node.admission.grants._remaining.clear()
             sim.node.admission.grants.incarnation = -1
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
         polls = [(await cluster.ask("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
-        fresh = cluster.job(LOOK + 1, shelfmark="look")
+        fresh = cluster.job(INTERACTIVE + 1, shelfmark="look")
         asked = cluster.spawn(submit(cluster, checker, fresh))
         await asyncio.sleep(2.0)
         assert not asked.done()
@@ -245,7 +244,7 @@
             return await commit(conditions, writes)
 
         follower.node.store.commit = hold
-        spec = cluster.job(LOOK, shelfmark="look")
+        spec = cluster.job(INTERACTIVE, shelfmark="look")
         accepted = await submit(cluster, checker, spec, node=follower.name)
         return checker, accepted, held
 
@@ -258,13 +257,13 @@
 
 @pytest.mark.parametrize("on", [(False, True, True), (True, False, False), (False, False, True)])
 def test_controllers_of_which_some_have_admission_off(on):
-    """In a rolling restart: who has it on follows whoever leads; a leader without it lets all of them admit."""
+    """In a rolling restart: those with admission on follow any leader; a leader without it lets all of them admit."""
 
     async def main():
         cluster, checker = overloaded_cluster(8, admission=None)
         rolled = [1, 2, 0]
-        look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
-        cluster.spawn(look.run(1.0, 90.0))
+        interactive = SubmissionLoad(cluster, checker, INTERACTIVE, shelfmark="look", precedence="prod")
+        cluster.spawn(interactive.run(1.0, 90.0))
         await asyncio.sleep(WARM_S)
         for number in rolled:  # from the version before to the settings of this case
             cluster.admission[number] = ADMISSION if on[number] else None
@@ -286,25 +285,25 @@
     assert not leader.node.leadership.leading or keys.ALLOCATION not in leader.node.replica.prefixes
 
 
-def test_switched_off_nothing_is_said_or_written():
+def test_admission_off_sends_and_writes_nothing():
     async def main():
         cluster, checker = overloaded_cluster(9, admission=None)
         await asyncio.sleep(WARM_S)
-        spec = cluster.job(LOOK, shelfmark="look")
+        spec = cluster.job(INTERACTIVE, shelfmark="look")
         await submit(cluster, checker, spec)
         node = cluster.nodes["n0"].node
         records = [entry for entry, *_ in cluster.state.data.values()]
         return checker, node.peers.heartbeat(), records
 
-    checker, view, records = virtual_time.run(main())
+    checker, heartbeat, records = virtual_time.run(main())
     assert checker.pages == {}
     assert checker.unmarked == 1
-    assert b"extensions" not in frame(view)
+    assert b"extensions" not in frame(heartbeat)
     assert all(GRANT_REFERENCE not in record for record in records if isinstance(record, dict))
 
 
 async def history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
-    """A flood with random faults, clocks at the edges of their bound, and controllers that stand still."""
+    """A flood with random faults, clocks at the edges of their bound, and paused controllers."""
     cluster, checker = overloaded_cluster(
         seed, admission, machines=2, capacity=(2, 1), freezes=True, late=0.02, lost=0.03
     )
@@ -360,7 +359,7 @@
     monkeypatch.setattr(SlotAllocator, "decide", twice)
 
 
-def ignore_lives(monkeypatch):
+def ignore_incarnations(monkeypatch):
     """A restarted controller that takes its former incarnation's grants for its own."""
 
     def open_any(self, allocation):
@@ -376,7 +375,7 @@
     [
         (spend_nothing, {"over_grant"}),
         (decide_again, {"two_allocations"}),
-        (ignore_lives, {"no_grant", "over_grant"}),
+        (ignore_incarnations, {"no_grant", "over_grant"}),
     ],
 )
 def test_the_checker_catches_unsafe_variants(unsafe, rules, monkeypatch):
@@ -385,8 +384,8 @@
     assert found & rules
 
 
-def test_a_controller_that_stood_still_admits_nothing_of_an_old_slot():
-    """It goes on with requests that waited in its sockets; one that goes by an old look at the clock is caught."""
+def test_a_paused_controller_admits_nothing_in_an_old_slot():
+    """It resumes with requests that waited in its sockets; one that uses an old reading of the clock is refused."""
 
     async def main(stale):
         cluster, checker = overloaded_cluster(10)
@@ -397,7 +396,7 @@
             seen = clock.number(cluster.now())
             follower.node.admission.admitter.clock = StaleClock(clock.length_s, seen)
         follower.frozen_until = cluster.now() + 3.4 * SLOT_S
-        spec = cluster.job(LOOK, shelfmark="look")
+        spec = cluster.job(INTERACTIVE, shelfmark="look")
         asked = cluster.spawn(submit(cluster, checker, spec, node=follower.name))
         await asyncio.sleep(40.0)
         return checker, asked.done() and asked.result(), (WARM_S + 3.4 * SLOT_S) // SLOT_S
@@ -407,13 +406,12 @@
     assert accepted
     assert slot >= woke
     checker, _, woke = virtual_time.run(main(stale=True))
-    assert all(
-        slot >= woke for slot, _ in checker.admitted
-    )  # the deleted record of the old slot fails its transaction
+    # the deleted record of the old slot fails its transaction
+    assert all(slot >= woke for slot, _ in checker.admitted)
 
 
 class StaleClock(SlotClock, frozen=True):
-    """Shows the slot of long ago."""
+    """Gives a slot of long ago."""
 
     seen: int
 
@@ -447,7 +445,7 @@
 
 
 def test_a_thousand_classes_leave_no_pages_behind(monkeypatch):
-    """Allocations on several pages, with a takeover between: what is over is deleted whole."""
+    """Allocations on several pages, with a takeover between: every page of a past slot is deleted."""
     monkeypatch.setattr(allocation_record, "PAGE_SPARE", 4096 - 200)
 
     async def main():
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -1,4 +1,4 @@
-"""Cancellations confirmed while the state service refuses the leader alone, and then everybody."""
+"""Cancellations confirmed while the key-value store refuses the leader alone, and then every controller."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 from standins import virtual_time
 from standins.scenarios import others, settled_cluster
 
-# What the controller that confirmed, or all of them, meet inside the outage: (trouble, whether the tasks of jobs that
-# nobody cancelled must live on).
-GAPS = [
+# (fault of the confirming controller, or of all, during the outage; whether the tasks of jobs that nobody cancelled
+# must survive)
+FAULTS = [
     ("nothing", True),
-    ("teller crashes", False),
-    ("teller crashes and is back at once", False),
-    ("teller stands still", False),
-    ("teller loses its peers", False),
+    ("confirming node crashes", False),
+    ("confirming node crashes and restarts at once", False),
+    ("confirming node pauses", False),
+    ("confirming node loses its peers", False),
     ("all restart", False),
     ("leader restarts", False),
     ("workers reach the leader only", False),
@@ -22,44 +22,44 @@
 ]
 
 
-async def gap(seed, trouble, pause=0.3):
-    """The state service refuses the leader alone, another node confirms, then the service is out for all."""
+async def confirm_between_refusal_and_outage(seed, fault, pause=0.3):
+    """The key-value store refuses the leader alone, another node confirms, then there is an outage for all."""
     cluster, leader = await settled_cluster(seed)
-    teller, third = others(cluster, leader)
-    if trouble == "workers reach the leader only":
-        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (teller, third)]
+    confirming, third = others(cluster, leader)
+    if fault == "workers reach the leader only":
+        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (confirming, third)]
         await asyncio.sleep(15.0)
     ((machine, _),) = cluster.checker.present[("wk-000000", 0)]
     cancel_s = cluster.limits["cancel_s"]
     cluster.spawn(cluster.refuse(leader, 14.0))
     await asyncio.sleep(1.5)
     if not pause:
-        cluster.spawn(cluster.refuse(third, 1.0))  # nobody but the teller can know
+        cluster.spawn(cluster.refuse(third, 1.0))  # no other node can know of the cancellation
         await asyncio.sleep(0.5)
-    confirmed = await cluster.cancel("wk-000000", teller)
+    confirmed = await cluster.cancel("wk-000000", confirming)
     known = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
-    if trouble == "teller crashes":
-        cluster.nodes[teller].kill()
-    elif trouble == "teller crashes and is back at once":
-        cluster.spawn(cluster.crash([teller], 0.1))
-    elif trouble == "teller stands still":
-        cluster.nodes[teller].frozen_until = cluster.now() + cancel_s * 1.5
-    elif trouble == "teller loses its peers":
-        cluster.cuts.append(("peers", teller, cluster.now() + cancel_s * 1.5))
-    elif trouble == "machine hangs":
+    if fault == "confirming node crashes":
+        cluster.nodes[confirming].kill()
+    elif fault == "confirming node crashes and restarts at once":
+        cluster.spawn(cluster.crash([confirming], 0.1))
+    elif fault == "confirming node pauses":
+        cluster.nodes[confirming].frozen_until = cluster.now() + cancel_s * 1.5
+    elif fault == "confirming node loses its peers":
+        cluster.cuts.append(("peers", confirming, cluster.now() + cancel_s * 1.5))
+    elif fault == "machine hangs":
         cluster.workers[machine].hung_until = cluster.now() + cancel_s * 3
     await asyncio.sleep(pause)
     cluster.spawn(cluster.outage(cancel_s * 1.4))
-    if trouble == "all restart":
+    if fault == "all restart":
         await asyncio.sleep(10 * pause)
         await cluster.crash(list(cluster.nodes), 1.0)
-    elif trouble == "leader restarts":
+    elif fault == "leader restarts":
         await asyncio.sleep(10 * pause)
         await cluster.crash([leader], 1.0)
     bystanders = {
         job
         for (job, _), places in cluster.checker.present.items()
-        if job != "wk-000000" and (trouble != "machine hangs" or machine not in dict(places))
+        if job != "wk-000000" and (fault != "machine hangs" or machine not in dict(places))
     }
     await asyncio.sleep(cancel_s)
     survivors = bystanders <= {job for (job, _), places in cluster.checker.present.items() if places}
@@ -69,26 +69,28 @@
     return cluster, confirmed, known, survivors, led, starts
 
 
-@pytest.mark.parametrize(("trouble", "lives_on"), GAPS)
+@pytest.mark.parametrize(("fault", "tasks_survive"), FAULTS)
 @pytest.mark.parametrize(("seed", "pause"), [(200, 0.3), (201, 0.0)])
-def test_gap_between_a_refused_leader_and_an_outage(seed, pause, trouble, lives_on):
+def test_gap_between_a_refused_leader_and_an_outage(seed, pause, fault, tasks_survive):
     """A leader that renews through an outage must know each cancellation that another controller confirmed.
 
-    It once went by a majority's view of the service and the term alone, and kept cancelled tasks alive.
+    It once relied on the majority's connectivity to the store and on the term alone, and kept cancelled tasks alive.
     """
-    cluster, confirmed, known, survivors, led, starts = virtual_time.run(gap(seed, trouble, pause))
+    cluster, confirmed, known, survivors, led, starts = virtual_time.run(
+        confirm_between_refusal_and_outage(seed, fault, pause)
+    )
     assert confirmed
     assert not known
     assert cluster.checker.broken == []
     assert not cluster.checker.present[("wk-000000", 0)]
-    if lives_on:
+    if tasks_survive:
         assert led
         assert survivors
         assert starts == 4
 
 
 def test_gap_after_a_confirmation_by_the_leader_itself():
-    """Refused from the moment of its own commit on, the leader's copy never shows it: its books must know."""
+    """Refused from its own commit on, the leader's replica never gets it: its log of cancellations must have it."""
 
     async def main():
         cluster, leader = await settled_cluster(202)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -24,7 +24,7 @@
     ("cancel_s", "lease_s", "report_s"),
     [(31.0, 11.0, 1.0), (44.0, 14.0, 1.5), (35.25, 15.25, 2.5), (45.25, 15.25, 2.5)],
 )
-def test_a_lease_granted_without_knowledge_ends_in_time(cancel_s, lease_s, report_s):
+def test_a_lease_renewed_at_the_horizon_expires_in_time(cancel_s, lease_s, report_s):
     horizon = renewal_horizon(cancel_s, lease_s, report_s)
     assert horizon > 2 * report_s
     assert horizon * 1.0005 + lease_s * 1.0005 + report_s < cancel_s  # clocks that drift apart, and a margin
@@ -43,7 +43,7 @@
     assert log.learned_at("x") is None
 
 
-def test_whoever_brings_an_entry_the_listener_hears_of_it_once():
+def test_the_listener_is_called_once_for_each_entry():
     learned = []
     log = CancellationLog(keep_s=10.0, on_learned=learned.append)
     for job in ("a", "b", "a"):
@@ -54,34 +54,44 @@
 # Answers of one peer: (incarnation, replica loaded, staleness, first, total, entries, asked at);
 # then what is new of the last one, and the two times that it proves.
 ANSWERS = [
-    ("all of it", [(1, True, None, 0, 2, "ab", 5.0)], "ab", 5.0, NEVER),
-    ("in slices: not yet", [(1, True, 0.5, 0, 3, "ab", 5.0)], "ab", NEVER, NEVER),
-    ("in slices", [(1, True, 0.5, 0, 3, "ab", 5.0), (1, True, 0.5, 2, 3, "c", 6.0)], "c", 6.0, 5.5),
-    ("the same slice twice", [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 0, 2, "ab", 6.0)], "", 6.0, NEVER),
-    ("an overlap", [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 1, 3, "bc", 6.0)], "c", 6.0, NEVER),
-    (
-        "older ones were dropped there",
+    pytest.param([(1, True, None, 0, 2, "ab", 5.0)], "ab", 5.0, NEVER, id="all of it"),
+    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0)], "ab", NEVER, NEVER, id="in slices: not yet"),
+    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0), (1, True, 0.5, 2, 3, "c", 6.0)], "c", 6.0, 5.5, id="in slices"),
+    pytest.param(
+        [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 0, 2, "ab", 6.0)],
+        "",
+        6.0,
+        NEVER,
+        id="the same slice twice",
+    ),
+    pytest.param(
+        [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 1, 3, "bc", 6.0)], "c", 6.0, NEVER, id="an overlap"
+    ),
+    pytest.param(
         [(1, True, None, 0, 1, "a", 5.0), (1, True, None, 4, 5, "e", 6.0)],
         "e",
         6.0,
         NEVER,
+        id="older ones were dropped there",
     ),
-    (
-        "restarted, and has not loaded its replica",
+    pytest.param(
         [(1, True, None, 0, 1, "a", 5.0), (2, False, None, 0, 0, "", 6.0)],
         "",
         5.0,
         NEVER,
+        id="restarted, and has not loaded its replica",
+    ),
+    pytest.param(
+        [(1, True, None, 0, 1, "a", 5.0), (2, True, None, 0, 1, "b", 6.0)], "b", 6.0, NEVER, id="restarted, loaded"
+    ),
+    pytest.param(
+        [(2, False, 1.0, 0, 1, "a", 6.0)], "a", NEVER, 5.0, id="has not loaded, but learned from one that knows"
     ),
-    ("restarted, loaded", [(1, True, None, 0, 1, "a", 5.0), (2, True, None, 0, 1, "b", 6.0)], "b", 6.0, NEVER),
-    ("has not loaded, but learned from one that knows", [(2, False, 1.0, 0, 1, "a", 6.0)], "a", NEVER, 5.0),
 ]
 
 
-@pytest.mark.parametrize(("name", "answers", "new", "until", "claimed"), ANSWERS, ids=[row[0] for row in ANSWERS])
-def test_the_log_of_a_peer_is_complete_until_its_last_answer_that_was_applied_to_the_end(
-    name, answers, new, until, claimed
-):
+@pytest.mark.parametrize(("answers", "new", "until", "claimed"), ANSWERS)
+def test_the_log_of_a_peer_is_complete_until_its_last_fully_applied_answer(answers, new, until, claimed):
     progress = PeerLogProgress()
     for *fields, asked_at in answers:
         fresh = progress.apply(PeerLogAnswer(*fields), asked_at)
@@ -171,7 +181,7 @@
 
 
 @pytest.mark.parametrize("body", BAD)
-def test_a_malformed_message_ends_nothing_and_counts_for_nothing(body):
+def test_a_malformed_message_reaches_no_listener(body):
     got = []
     connection = PeerConnection(lambda _, heartbeat: got.append(heartbeat))
     connection.data_received(frame(OWN)[:5])
--- a/tests/test_checker.py
+++ b/tests/test_checker_detects_violations.py
@@ -1,4 +1,4 @@
-"""The checks can fail: each is seen to catch a controller that breaks its rule."""
+"""The checker detects violations: each rule fails on a controller that is made to break it."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     slow_state_then_refused_then_out,
     zone_bound_jobs_lose_machines,
 )
-from test_cancellation_across_outage import gap
+from test_cancellation_across_outage import confirm_between_refusal_and_outage
 
 
 def believes_that_it_knows(monkeypatch):
@@ -52,18 +52,20 @@
 
     async def _query(self, job_id):
         if job_id == "wk-000000" and monotonic_time() > 30.0:
-            raise UnavailableError("as a test wants it")
+            raise UnavailableError("injected by the test")
         return await query(self, job_id)
 
     monkeypatch.setattr(UserApi, "_query", _query)
 
 
-@pytest.mark.parametrize("trouble", ["teller crashes and is back at once", "teller loses its peers", "all restart"])
-def test_checker_catches_renewals_without_knowledge(monkeypatch, trouble):
-    """What is told is not enough where the one that told is gone: the bound is needed as well."""
+@pytest.mark.parametrize(
+    "fault", ["confirming node crashes and restarts at once", "confirming node loses its peers", "all restart"]
+)
+def test_checker_catches_renewals_without_knowledge(monkeypatch, fault):
+    """Announcing cancellations to peers is not enough if the announcing node is lost: the bound is needed too."""
     believes_that_it_knows(monkeypatch)
-    cluster = virtual_time.run(gap(201, trouble, 0.0))[0]
-    assert "ran_cancelled" in {one for _, one, _ in cluster.checker.broken}
+    cluster = virtual_time.run(confirm_between_refusal_and_outage(201, fault, 0.0))[0]
+    assert "ran_cancelled" in {broken_rule for _, broken_rule, _ in cluster.checker.broken}
 
 
 @pytest.mark.parametrize(
@@ -81,4 +83,4 @@
     """Each check that the scenarios rest on fails on a controller that breaks it."""
     unsafe(monkeypatch)
     cluster, _ = virtual_time.run(run_scenario(scenario, 300, ("a", "b", "c")))
-    assert rule in {one for _, one, _ in cluster.checker.broken}
+    assert rule in {broken_rule for _, broken_rule, _ in cluster.checker.broken}
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, brought about for certain: each case first shows that they met, then that no rule broke."""
+"""Two coinciding faults, injected for certain: each case asserts that they coincided, then that no rule broke."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 @pytest.mark.parametrize("zones", [("a", "b", "c"), ("a",)], ids=["three", "one"])
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_coinciding_failures(scenario, zones):
-    cluster, met = virtual_time.run(run_scenario(scenario, 300, zones))
-    assert met
+    cluster, coincided = virtual_time.run(run_scenario(scenario, 300, zones))
+    assert coincided
     assert cluster.checker.broken == []
     for job in cluster.checker.accepted - cluster.checker.cancel_asked:
         spec = cluster.specs[job]
@@ -26,8 +26,8 @@
         assert not on_machines(cluster, job)
 
 
-def test_a_look_up_by_single_reads_that_crosses_the_end_of_the_job():
-    """The record was read, then the cancellation was told and the job went: ``queued`` would be an older answer."""
+def test_a_lookup_by_single_reads_while_the_job_is_cancelled():
+    """Between reads the cancellation was confirmed and the record deleted: ``queued`` would be an older answer."""
 
     async def main():
         cluster, leader = await settled_cluster(310)
@@ -49,13 +49,13 @@
         lookup.fence.wait, lookup.store.get = no_fence, get
         asked = cluster.now()
         status, answer = await cluster.ask("GET", "/v2/runs/wk-000000", timeout=30.0, node=slow)
-        told = cluster.checker.confirmed["wk-000000"]
-        return status, answer["status"], told[1], asked < told[0]
+        confirmed_at, confirmed_status = cluster.checker.confirmed["wk-000000"]
+        return status, answer["status"], confirmed_status, asked < confirmed_at
 
     assert virtual_time.run(main()) == (200, "cancelled", "cancelled", True)
 
 
-def test_a_repeated_submission_is_never_refused_for_what_is_on_offer_now():
+def test_a_repeated_submission_is_not_checked_against_the_current_catalog():
     async def main():
         cluster, _ = await settled_cluster(311)
         answers = []
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -553,7 +553,7 @@
     assert (answer.status, cbor2.loads(answer.body)) == (200, {"ref": "wk-4071", "status": "cancelled"})
 
 
-def fleet_with_images():
+def machines_with_images():
     """Machines with images, and a team that asks for most of them."""
     names = [f"host-{number}-with-a-name-of-forty-characters" for number in range(32, 62)]
     harness = SchedulerHarness((), page=50)
@@ -567,7 +567,7 @@
 
 async def bind_machines(http):
     """A binding round: a reservation of two pages, two that are empty, and two records of image hints."""
-    harness = fleet_with_images()
+    harness = machines_with_images()
     rounds = make_rounds(state_client(http), harness)
     rounds.run_if_due(1e6)
     while len(rounds.assignments) < 30 or not http.sent:
@@ -769,7 +769,7 @@
 
 
 @pytest.mark.parametrize(("key", "place"), [("p/f/wk-4071", "done"), ("p/f/wk-4072", "cancelled")])
-def test_golden_final_states_are_told_to_users(key, place, wall_clock):
+def test_golden_final_states_are_answered_to_users(key, place, wall_clock):
     """Read by the key, where the copy of the state has forgotten it, and from a change that the copy is shown."""
     entry = next(entry for entry in golden_entries("finished_jobs") if entry.key == key)
     job_id = key.rpartition("/")[2]
@@ -966,7 +966,7 @@
     assert got == [["node-3", dict(spelt("peers/heartbeat_leader")["extensions"])["admission"]]]
 
 
-def test_a_node_answers_with_its_view_and_its_demand(wall_clock):
+def test_a_node_answers_with_its_heartbeat_and_its_demand(wall_clock):
     """A real node, not its parts: what of its state goes into which field, and under which name its demand does."""
 
     async def main():
@@ -1065,7 +1065,7 @@
 
 
 @pytest.mark.parametrize("value", ["41", None, {"?": 1}])
-def test_an_unreadable_term_that_the_copy_shows_is_passed_over(value):
+def test_an_unreadable_term_in_the_replica_is_ignored(value):
     async def main():
         client = state_client(RecordingHttp())
         replica = make_replica(client)
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -1,4 +1,4 @@
-"""What the service does when nothing happens, and for one report: counted, not timed, so that it repeats exactly."""
+"""Cost of a quiet minute, an unchanged heartbeat and a pass without work: counted, not timed, to be reproducible."""
 
 import asyncio
 import sys
@@ -10,11 +10,13 @@
 MACHINES = 20
 SETTLED_S = 90.0  # by then surplus machines have gone back and all records are written
 QUIET_S = 60.0
-# A minute of three controllers at rest: renewals of the leader's key four times in its life, a watch each 4 s, a look
-# at the state service by who has heard nothing of it for half of that life, and a read for what six users ask in 5 s.
+# A minute of three idle controllers: renewals of the leader key four times in its lease, a watch every 4 s, a probe
+# of the key-value store by each that has had no answer from it for half of that lease, and a read for what six users
+# query in 5 s.
 STATE_REQUESTS = 360
-CALLS_A_REPORT = 60  # Python functions called for an unchanged report of two tasks, parsing and answer included
-CALLS_A_PASS = 4 * MACHINES  # and for a pass of placement over a fleet on which nothing waits
+# Python functions called for an unchanged heartbeat of two tasks, parsing and answer included
+CALLS_PER_HEARTBEAT = 60
+CALLS_PER_PASS = 4 * MACHINES  # for a scheduling pass over these machines while no task waits
 
 
 def calls_of(work, *arguments):
@@ -33,7 +35,7 @@
     return result, count
 
 
-async def quiet_fleet():
+async def quiet_cluster():
     """Replicas run on twenty machines, and nothing else happens."""
     cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, limit=16.0, capacity=(MACHINES, 0))
     for number in range(6):
@@ -44,10 +46,10 @@
 
 
 async def quiet_minute():
-    cluster = await quiet_fleet()
+    cluster = await quiet_cluster()
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     scheduler = leader.leader_term.scheduler
-    standings, requests = scheduler.queue.guaranteed, []
+    guaranteed, requests = scheduler.queue.guaranteed, []
     handle = cluster.state.handle
 
     async def counted(method, path, body):
@@ -59,18 +61,18 @@
     await asyncio.sleep(QUIET_S)
     assert leader.leader_term.evaluations.finished_count > evaluations
     assert cluster.checker.starts >= 30
-    return requests, standings is scheduler.queue.guaranteed
+    return requests, guaranteed is scheduler.queue.guaranteed
 
 
-def test_a_quiet_minute_writes_nothing_and_reckons_no_standings():
+def test_a_quiet_minute_writes_nothing_and_recomputes_no_guarantees():
     requests, kept = virtual_time.run(quiet_minute())
     assert [path for _, path in requests if path == "/commit"] == []
     assert len(requests) <= STATE_REQUESTS
     assert kept
 
 
-async def one_report():
-    cluster = await quiet_fleet()
+async def heartbeat_and_pass():
+    cluster = await quiet_cluster()
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     worker = next(one for one in cluster.workers.values() if len(one.tasks) == 2)
     body = worker.report()
@@ -83,7 +85,7 @@
     return calls, pass_calls
 
 
-def test_an_unchanged_report_and_a_pass_without_work_are_cheap():
-    calls, pass_calls = virtual_time.run(one_report())
-    assert calls <= CALLS_A_REPORT
-    assert pass_calls <= CALLS_A_PASS
+def test_an_unchanged_heartbeat_and_a_pass_without_work_are_cheap():
+    calls, pass_calls = virtual_time.run(heartbeat_and_pass())
+    assert calls <= CALLS_PER_HEARTBEAT
+    assert pass_calls <= CALLS_PER_PASS
--- a/tests/test_http.py
+++ b/tests/test_http_connections.py
@@ -83,7 +83,7 @@
     assert asyncio.run(main()) <= 2
 
 
-def test_client_reuses_connections_and_reports_silence():
+def test_client_reuses_connections_and_raises_without_an_answer():
     async def main():
         server = HttpServer(handler, connection_limit=8, idle_timeout_s=60, head_timeout_s=60)
         listening = await server.start("127.0.0.1", 0)
--- a/tests/test_large_jobs.py
+++ b/tests/test_large_jobs_scale_out.py
@@ -1,4 +1,4 @@
-"""Jobs of hundreds of tasks on a fleet that has to be rented for them: no fixed number may hold them up."""
+"""Scale-out for jobs of hundreds of tasks: no fixed limit on provisioning may delay them."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
-SPREAD_S = 30.0  # boot, fetch, and what renting and recording so many takes at the rates of the stand-ins
+SPREAD_S = 30.0  # boot, image fetch, and what provisioning and recording so many takes at the rates of the stand-ins
 
 
 async def largest_job(fields, machines):
-    """One job that needs every machine that can be had; how long until all of its tasks ran at once."""
+    """One job that needs every machine of the cloud; the seconds until all of its tasks ran at once, or None."""
     cluster = SimulatedCluster(
         7, zones=("a",), machines=2, teams=3, guarantee=0.0, limit=1000.0, capacity=(machines, 0)
     )
@@ -30,12 +30,12 @@
 @pytest.mark.parametrize(
     "fields",
     [
-        {"format": "group"},  # 64 machines were rented for a gang of any size: it waited for ever
+        {"format": "group"},  # 64 machines were provisioned for a gang of any size: it waited for ever
         {"format": "group", "samePlace": True},
-        {"format": "batch"},  # 64 tasks at a time had room rented, and no more until it was up
+        {"format": "batch"},  # machines were provisioned for 64 tasks at a time, and no more until these were up
     ],
 )
-def test_the_largest_job_gets_the_whole_fleet(fields):
+def test_the_largest_job_gets_every_machine(fields):
     cluster, took = virtual_time.run(largest_job(fields, 200))
     assert cluster.checker.broken == []
     assert took is not None
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers stay apart: decisions know no sockets and no clock, and names of the interfaces stand in one place."""
+"""Imports between layers: decisions use no sockets and no clock, and the interfaces' names occur in one place."""
 
 import ast
 import re
@@ -16,7 +16,7 @@
     "admission/wire": ("asyncio", "socket", "time", "passrock.io", "passrock.controller"),
     "admission/io": ("passrock.controller",),
 }
-# field names of the interfaces that are no words of this project
+# field names of the interfaces that are not terms of this project
 WIRE_NAMES = (
     "accession",
     "warrant",
@@ -57,7 +57,7 @@
 
 
 def test_subsystems_are_loaded_only_where_they_are_switched_on():
-    """What the rest of the service imports of them stands in functions, or is for the type checker alone."""
+    """Other modules import them inside functions, or for the type checker alone."""
     found = []
     for path in SOURCES.rglob("*.py"):
         if "admission" in path.parts:
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -107,7 +107,7 @@
     assert described() == logged()
 
 
-def test_rows_are_whole_and_in_order():
+def test_rows_are_complete_and_in_order():
     names = [row[0] for row in rows()]
     assert names == sorted(set(names))
     assert [row[0] for row in rows() if len(row) != COLUMNS or not row[3]] == []
@@ -118,7 +118,7 @@
     assert old & logged().keys() == set()
 
 
-def test_causes_name_only_events_that_there_are():
+def test_causes_name_only_existing_events():
     """A word that looks like an event, in a cause, is one, or the value of a field or a setting."""
     others = {"no_machine", "team_limit", "insufficient_capacity", "attempt_in_use"}
     settings = {"fd_limit", "socket_share", "log_dir"}
--- a/tests/test_loopback.py
+++ b/tests/test_loopback_restart.py
@@ -1,18 +1,18 @@
-"""The real process over stand-ins on loopback: submit, run, done, kill -9, restart, still done."""
+"""The real process over stand-ins on loopback: finished jobs survive kill -9 and a restart."""
 
 import asyncio
 
 from standins.loopback_cluster import LoopbackCluster
 
-PATIENCE_S = 60.0  # far above what it takes; only a failure comes near it
+TIMEOUT_S = 60.0  # far above what it takes; only a failure comes near it
 
 
-async def story(folder):
+async def run_jobs_across_a_restart(folder):
     cluster = LoopbackCluster(5, zones=("a",), node_count=1, machines=2)
     await cluster.serve(folder)
     await cluster.start()
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             first = cluster.job(1, volumes=2)
             gang = cluster.job(2, format="group", volumes=2)
             cluster.spawn(cluster.user(gang, run_s=0.5))
@@ -40,7 +40,7 @@
     return cluster.checker
 
 
-def test_story(tmp_path):
-    checker = asyncio.run(story(tmp_path))
+def test_finished_jobs_survive_a_kill_and_restart_of_the_process(tmp_path):
+    checker = asyncio.run(run_jobs_across_a_restart(tmp_path))
     assert checker.broken == []
     assert checker.starts == 5
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -12,7 +12,7 @@
 
 
 @contextlib.asynccontextmanager
-async def a_peer(answer):
+async def connected_peer(answer):
     """A peer that gives each question to ``answer``, which may send one; and a link to it."""
     connections = []
 
@@ -37,19 +37,21 @@
 
 def test_an_answer_counts_from_its_question_and_reaches_the_listeners():
     async def main():
-        heard = []
-        async with a_peer(lambda connection, _: connection.send(PeerHeartbeat("n1", 4, True, False, True))) as (
+        notified = []
+        async with connected_peer(
+            lambda connection, _: connection.send(PeerHeartbeat("n1", 4, True, False, True))
+        ) as (
             link,
             _,
         ):
-            link.subscribe(heard.append)
+            link.subscribe(notified.append)
             before = asyncio.get_running_loop().time()
             await link.ask(QUESTION, TIMEOUT_S)
             after = asyncio.get_running_loop().time()
             assert link.waiting_since is not None
             assert link.answer is None
             await until(lambda: link.answer is not None)
-        assert heard == [link.answer]
+        assert notified == [link.answer]
         assert link.answer.heartbeat.term == 4
         assert before <= link.answer.asked_at <= after
         assert link.waiting_since is None
@@ -57,9 +59,9 @@
     asyncio.run(main())
 
 
-def test_a_peer_that_refuses_is_not_waited_for():
+def test_a_refused_connection_is_not_waited_for():
     async def main():
-        async with a_peer(None) as (link, _):
+        async with connected_peer(None) as (link, _):
             pass  # nobody listens at its address any more
         await link.ask(QUESTION, TIMEOUT_S)
         assert link.waiting_since is None
@@ -68,9 +70,9 @@
     asyncio.run(main())
 
 
-def test_a_peer_that_never_answers_is_connected_to_anew():
+def test_the_connection_to_an_unresponsive_peer_is_replaced():
     async def main():
-        async with a_peer(lambda connection, _: None) as (link, connections):
+        async with connected_peer(lambda connection, _: None) as (link, connections):
             for _ in range(UNANSWERED_LIMIT + 1):
                 await link.ask(QUESTION, TIMEOUT_S)
             since = link.waiting_since
@@ -87,9 +89,11 @@
     asyncio.run(main())
 
 
-def test_another_nodes_answer_counts_for_nothing():
+def test_an_answer_of_another_node_is_ignored():
     async def main():
-        async with a_peer(lambda connection, _: connection.send(PeerHeartbeat("n2", 4, True, False, True))) as (
+        async with connected_peer(
+            lambda connection, _: connection.send(PeerHeartbeat("n2", 4, True, False, True))
+        ) as (
             link,
             _,
         ):
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -20,7 +20,7 @@
         ({"tasks": 6, "team": "t0"}, {"priority": Priority.NORMAL, "team": "t0"}, False),
     ],
 )
-def test_preemption_has_reasons(victim, job, preempted):
+def test_which_jobs_may_preempt(victim, job, preempted):
     harness = SchedulerHarness()
     harness.job(1, resources=Resources(5, 1, 20), **victim)
     harness.run()
@@ -34,14 +34,14 @@
     harness.inventory.machines["m1"].used = BOX.size
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
-        # a start that does not count yet is not taken back
+        # a start that does not count yet is not undone
         assert not harness.preemption.select_victims(waiting, 1.0)
         for attempt in harness.job_table.attempts_by_machine["m1"].values():
             attempt.running_since = -60.0
     assert bool(harness.preemption.select_victims(waiting, 1.0)) is preempted
 
 
-def test_a_preempted_gang_is_stopped_whole():
+def test_a_preempted_gang_stops_every_member():
     """Every member is asked to stop with time to save, also those on machines that nobody needs."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     gang = harness.job(
@@ -68,18 +68,16 @@
 
 
 ELASTIC = [
-    ("low-priority work without a guarantee", "guest", Priority.LOW, JobKind.GANG, 1, True),
-    ("a guarantee stands behind it", "t1", Priority.LOW, JobKind.GANG, 1, False),
-    ("it is more than idle-time work", "guest", Priority.NORMAL, JobKind.GANG, 1, False),
-    ("the job is beyond its own guarantee", "guest", Priority.LOW, JobKind.GANG, 3, False),
-    ("an array starts task by task anyway", "guest", Priority.LOW, JobKind.ARRAY, 1, False),
+    pytest.param("guest", Priority.LOW, JobKind.GANG, 1, True, id="low-priority work without a guarantee"),
+    pytest.param("t1", Priority.LOW, JobKind.GANG, 1, False, id="it is covered by a guarantee"),
+    pytest.param("guest", Priority.NORMAL, JobKind.GANG, 1, False, id="it is more than idle-time work"),
+    pytest.param("guest", Priority.LOW, JobKind.GANG, 3, False, id="the job is beyond its own guarantee"),
+    pytest.param("guest", Priority.LOW, JobKind.ARRAY, 1, False, id="an array starts task by task anyway"),
 ]
 
 
-@pytest.mark.parametrize(
-    ("name", "team", "priority", "kind", "tasks", "revoked"), ELASTIC, ids=[c[0] for c in ELASTIC]
-)
-def test_elastic_work_is_revoked_at_once(name, team, priority, kind, tasks, revoked):
+@pytest.mark.parametrize(("team", "priority", "kind", "tasks", "revoked"), ELASTIC)
+def test_elastic_work_is_revoked_at_once(team, priority, kind, tasks, revoked):
     """Guaranteed gangs waited for a minute beside machines full of work of a team without a guarantee."""
     harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_AND_GUEST)
     harness.job(
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -38,31 +38,31 @@
 
 # What a heartbeat shows -> commands, and whether the attempt still counts as possibly on the machine.
 HEARTBEATS = [
-    ("running", {"sequence": 3, "tasks": [task_status()]}, [], True),
-    ("not listed in a later one: the launch was dropped, so again", {"sequence": 3}, [CommandKind.START], True),
-    ("an older heartbeat is nothing new", {"sequence": 1}, [], True),
-    ("a later incarnation has forgotten it", {"incarnation": 2, "sequence": 3}, [], False),
-    ("completed", {"sequence": 3, "tasks": [exited(ExitReason.COMPLETED)]}, [], False),
-    ("stopped", {"sequence": 3, "tasks": [exited(ExitReason.STOPPED)]}, [], False),
-    (
-        "another attempt runs there",
+    pytest.param({"sequence": 3, "tasks": [task_status()]}, [], True, id="running"),
+    pytest.param(
+        {"sequence": 3}, [CommandKind.START], True, id="not listed in a later one: the launch was dropped, so again"
+    ),
+    pytest.param({"sequence": 1}, [], True, id="an older heartbeat is nothing new"),
+    pytest.param({"incarnation": 2, "sequence": 3}, [], False, id="a later incarnation has forgotten it"),
+    pytest.param({"sequence": 3, "tasks": [exited(ExitReason.COMPLETED)]}, [], False, id="completed"),
+    pytest.param({"sequence": 3, "tasks": [exited(ExitReason.STOPPED)]}, [], False, id="stopped"),
+    pytest.param(
         {"sequence": 3, "tasks": [task_status(attempt_number=9)]},
         [CommandKind.STOP, CommandKind.START],
         True,
+        id="another attempt runs there",
     ),
-    (
-        "an unknown job",
+    pytest.param(
         {"sequence": 3, "tasks": [task_status(), task_status(job="wk-99")]},
         [CommandKind.STOP],
         True,
+        id="an unknown job",
     ),
 ]
 
 
-@pytest.mark.parametrize(
-    ("name", "fields", "commands", "is_recorded"), HEARTBEATS, ids=[case[0] for case in HEARTBEATS]
-)
-def test_evidence_of_a_heartbeat(name, fields, commands, is_recorded):
+@pytest.mark.parametrize(("fields", "commands", "is_recorded"), HEARTBEATS)
+def test_evidence_of_a_heartbeat(fields, commands, is_recorded):
     harness, job, reconciler = placed_harness()
     assert kinds(handle(harness, reconciler, **fields)) == commands
     assert (job.attempt_count == 1) is is_recorded
@@ -79,26 +79,17 @@
     assert "wk-1" in harness.job_table.finalizing
 
 
-def test_exits_in_heartbeats_of_older_terms():
+@pytest.mark.parametrize(
+    ("exit_reason", "is_recorded"),
+    [(ExitReason.GANG_INCOMPLETE, True), (ExitReason.STOPPED, True), (ExitReason.COMPLETED, False)],
+)
+def test_exits_in_heartbeats_of_older_terms(exit_reason, is_recorded):
     """A delayed exit may be of an attempt that was started again since; completion is final."""
-    for exit_reason, is_recorded in (
-        (ExitReason.GANG_INCOMPLETE, True),
-        (ExitReason.STOPPED, True),
-        (ExitReason.COMPLETED, False),
-    ):
-        harness, job, reconciler = placed_harness()
-        next(job.attempts()).stop_grace_s = 0.0
-        assert (
-            handle(
-                harness,
-                reconciler,
-                sequence=3,
-                token=TERM - 1,
-                tasks=[exited(exit_reason)],
-            )
-            == []
-        )
-        assert (job.attempt_count == 1) is is_recorded
+    harness, job, reconciler = placed_harness()
+    next(job.attempts()).stop_grace_s = 0.0
+    commands = handle(harness, reconciler, sequence=3, token=TERM - 1, tasks=[exited(exit_reason)])
+    assert commands == []
+    assert (job.attempt_count == 1) is is_recorded
 
 
 def test_no_launch_before_the_commit_nor_without_a_held_lease():
@@ -160,19 +151,21 @@
 
 # successive heartbeats (incarnation, sequence, token, whether the launch is listed) -> whether the machine is usable
 ACKNOWLEDGEMENTS = [
-    ("a first heartbeat shows no token of this term", [(1, 1, 0, False)], False),
-    ("the next one does", [(1, 1, 0, False), (1, 2, TERM, False)], True),
-    ("a new incarnation though it was answered, once", [(1, 1, TERM, False), (2, 2, TERM, False)], True),
-    ("and again", [(1, 1, TERM, False), (2, 2, TERM, False), (3, 3, TERM, False)], False),
-    ("launches without effect", [(1, n, TERM, False) for n in (1, 2, 3, 4)], False),
-    ("a launch that took effect at last", [(1, 1, TERM, False), (1, 2, TERM, False), (1, 3, TERM, True)], True),
+    pytest.param([(1, 1, 0, False)], False, id="a first heartbeat shows no token of this term"),
+    pytest.param([(1, 1, 0, False), (1, 2, TERM, False)], True, id="the next one does"),
+    pytest.param(
+        [(1, 1, TERM, False), (2, 2, TERM, False)], True, id="a new incarnation though it was answered, once"
+    ),
+    pytest.param([(1, 1, TERM, False), (2, 2, TERM, False), (3, 3, TERM, False)], False, id="and again"),
+    pytest.param([(1, n, TERM, False) for n in (1, 2, 3, 4)], False, id="launches without effect"),
+    pytest.param(
+        [(1, 1, TERM, False), (1, 2, TERM, False), (1, 3, TERM, True)], True, id="a launch that took effect at last"
+    ),
 ]
 
 
-@pytest.mark.parametrize(
-    ("name", "heartbeats", "is_usable"), ACKNOWLEDGEMENTS, ids=[case[0] for case in ACKNOWLEDGEMENTS]
-)
-def test_only_machines_that_answers_reach_are_used(name, heartbeats, is_usable):
+@pytest.mark.parametrize(("heartbeats", "is_usable"), ACKNOWLEDGEMENTS)
+def test_only_machines_that_answers_reach_are_used(heartbeats, is_usable):
     harness = SchedulerHarness([])
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     harness.job()
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -1,4 +1,4 @@
-"""Claims of docs/safety.md that take a course of events to show, each in the simulated cluster."""
+"""Claims of docs/safety.md that need a sequence of events, each in the simulated cluster."""
 
 import asyncio
 
@@ -83,8 +83,8 @@
         await asyncio.sleep(cluster.limits["cancel_s"])
         return cluster, status, answer["status"]
 
-    cluster, status, told = virtual_time.run(main())
-    assert (status, told) == (200, "cancelled")
+    cluster, status, answered_status = virtual_time.run(main())
+    assert (status, answered_status) == (200, "cancelled")
     assert not cluster.checker.present[("wk-000000", 0)]
     assert cluster.checker.broken == []
 
@@ -99,8 +99,8 @@
         again = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.job(1)), 5.0)
         return status, answer["status"], again[0], again[1]["status"], sorted(cluster.state.data)
 
-    status, told, again, state, left = virtual_time.run(main())
-    assert (status, told, again, state) == (200, "done", 200, "done")
+    status, answered_status, again, state, left = virtual_time.run(main())
+    assert (status, answered_status, again, state) == (200, "done", 200, "done")
     assert "p/f/wk-000001" in left
     assert not any(key.startswith(("p/j/", "p/c/")) for key in left)
 
@@ -120,24 +120,24 @@
     assert virtual_time.run(main()) == (201, 503, 200, 404)
 
 
-def test_a_machine_that_no_answer_reaches_is_freed_by_evidence_and_replaced():
-    """Its heartbeats look healthy: only a token it can't have without an answer tells it from a sound one."""
+def test_a_machine_unreachable_inbound_is_replaced_after_its_lease_expires():
+    """Its heartbeats look healthy: only the fencing token, which comes with an answer, distinguishes it."""
 
     async def main():
         cluster, _ = await settled_cluster(65, jobs=3)
-        deaf = next(iter(dict(cluster.checker.present[("wk-000000", 0)])))
-        cluster.cuts.append(("unreachable_inbound", deaf, cluster.now() + 300.0))
+        unreachable = next(iter(dict(cluster.checker.present[("wk-000000", 0)])))
+        cluster.cuts.append(("unreachable_inbound", unreachable, cluster.now() + 300.0))
         cluster.cloud.outage = True  # no deletion helps at first: the unanswered lease has to end
         await asyncio.sleep(2.5 * cluster.limits["lease_s"])
         moved = dict(cluster.checker.present[("wk-000000", 0)])
         cluster.cloud.outage = False
         await asyncio.sleep(30.0)
-        return cluster, deaf, moved
+        return cluster, unreachable, moved
 
-    cluster, deaf, moved = virtual_time.run(main())
+    cluster, unreachable, moved = virtual_time.run(main())
     assert moved
-    assert deaf not in moved
-    assert deaf not in cluster.workers
+    assert unreachable not in moved
+    assert unreachable not in cluster.workers
     assert cluster.checker.broken == []
 
 
@@ -164,7 +164,7 @@
     assert cluster.checker.broken == []
 
 
-def test_a_leader_with_only_its_workers_stops_and_misleads_nobody():
+def test_an_isolated_leader_steps_down_and_redirects_nobody_to_itself():
     async def main():
         cluster, old = await settled_cluster(67, jobs=4)
         starts = cluster.checker.starts
@@ -227,13 +227,13 @@
         return cluster, starts, leaders(cluster)
 
     cluster, starts, now = virtual_time.run(main())
-    # one worker may come upon ended processes for a whole lease while nineteen terms pass in twelve seconds
+    # one worker may try crashed controllers for the length of its lease while nineteen terms pass in twelve seconds
     assert len(now) == 1
     assert cluster.checker.starts <= starts + 2
     assert cluster.checker.broken == []
 
 
-def test_replicas_preempt_attempts_that_are_not_launched_yet_at_once():
+def test_replicas_preempt_unlaunched_attempts_at_once():
     """After a mass restart jobs arrive in no order; replicas waited for machines that had nothing to stop yet."""
 
     async def main():
@@ -256,22 +256,22 @@
 
 
 async def pause_the_leader(seed, for_s):
-    """A leader process is paused while heartbeats and users' questions wait in its sockets."""
+    """A leader process is paused while heartbeats and users' queries wait in its sockets."""
     cluster, old = await settled_cluster(seed, jobs=6, machines=12, cards=2.0)
     before = {name for places in cluster.checker.present.values() for name, _ in places}
     starts = cluster.checker.starts
     cluster.nodes[old].frozen_until = cluster.now() + for_s
-    question = cluster.spawn(cluster.nodes[old].answer(Request("GET", "/v2/runs/wk-000001", b"")))
+    query = cluster.spawn(cluster.nodes[old].answer(Request("GET", "/v2/runs/wk-000001", b"")))
     await asyncio.sleep(min(for_s, cluster.limits["lease_s"] / 2))
     new = leaders(cluster)
     await asyncio.sleep(for_s + 20.0)
     lost, started = len(before - set(cluster.workers)), cluster.checker.starts - starts
-    return cluster, new, leaders(cluster), lost, started, question.result(), old
+    return cluster, new, leaders(cluster), lost, started, query.result(), old
 
 
 @pytest.mark.parametrize("for_s", [3.0, 12.0, 25.0])
 def test_a_leader_that_was_paused_leads_no_longer_and_deletes_no_machine(for_s):
-    """Its clocks ran on: by them every machine was silent and every lease expired when it woke."""
+    """Its clocks ran on: by them every machine had missed heartbeats and every lease had expired when it resumed."""
     cluster, new, later, lost, started, answer, old = virtual_time.run(pause_the_leader(75, for_s))
     assert len(later) == 1
     assert cluster.checker.broken == []
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -82,7 +82,7 @@
     assert len({machine for _, _, machine in harness.run()}) == 2
 
 
-def test_a_fetch_under_way_is_left_alone():
+def test_an_image_fetch_in_progress_is_not_slowed():
     """Two images on one machine share its rate: the second made the first one's task late."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     harness.inventory.machines["m2"].images["old"] = 1.0
@@ -96,12 +96,9 @@
 def test_an_objective_that_the_fetch_would_miss_does_not_count():
     """Jobs with large images went first for an objective that was lost to them, before those that could meet it."""
     harness = SchedulerHarness()
-    for number, gb in (
-        (1, 1.0),
-        (2, 40.0),
-        (3, 20.0),
-    ):  # at 1 GB a second, with 30 s from the submission to the start
-        harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=gb, at=0.1 * number)
+    image_gb_of = {1: 1.0, 2: 40.0, 3: 20.0}  # at 1 GB a second, with 30 s from the submission to the start
+    for number, image_gb in image_gb_of.items():
+        harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=image_gb, at=0.1 * number)
     harness.run(0.4)
     harness.scheduler.queue.update_guaranteed()
     assert [job.spec.id for job in harness.scheduler.queue.ordered(0.5)] == ["wk-3", "wk-1", "wk-2"]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -74,7 +74,7 @@
 
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
-    """A scheduler that takes silence for loss starts tasks twice, and the checker says so."""
+    """A scheduler that treats missed heartbeats as loss starts tasks twice, and the checker reports it."""
     monkeypatch.setattr(
         MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
     )
@@ -83,7 +83,7 @@
 
 
 def test_checker_catches_answers_that_are_not_counted_as_renewals(monkeypatch):
-    """A leader that counts a lease from what the machine showed, not from what it was answered."""
+    """A leader that counts a lease from the machine's heartbeats, not from the answers to them."""
 
     def shown(self, machine, now, fenced):
         return (
@@ -97,29 +97,32 @@
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
-def test_checker_catches_copies_taken_for_news(monkeypatch):
-    """A leader that believes any report, however old, starts tasks twice when late copies come."""
+def test_checker_catches_stale_heartbeats_accepted_as_new(monkeypatch):
+    """A leader that believes any heartbeat, however old, starts tasks twice when late copies come."""
     observe, handle = MachineInventory.observe, Reconciler.handle
 
-    def believe(self, report, kind, now):
-        machine = self.machines.get(report.machine)
-        if machine is not None and (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence):
-            machine.incarnation, machine.sequence = report.incarnation, report.sequence - 1
-        return observe(self, report, kind, now)
+    def accept_stale(self, heartbeat, kind, now):
+        machine = self.machines.get(heartbeat.machine)
+        if machine is not None and (heartbeat.incarnation, heartbeat.sequence) <= (
+            machine.incarnation,
+            machine.sequence,
+        ):
+            machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence - 1
+        return observe(self, heartbeat, kind, now)
 
-    def settle(self, machine, report, now, *, may_launch):
+    def handle_any(self, machine, heartbeat, now, *, may_launch):
         for attempt in self.job_table.attempts_on(machine.name):
             attempt.launch_sequence = None if attempt.launch_sequence is None else -1
-        return handle(self, machine, report, now, may_launch=may_launch)
+        return handle(self, machine, heartbeat, now, may_launch=may_launch)
 
-    monkeypatch.setattr(MachineInventory, "observe", believe)
-    monkeypatch.setattr(Reconciler, "handle", settle)
+    monkeypatch.setattr(MachineInventory, "observe", accept_stale)
+    monkeypatch.setattr(Reconciler, "handle", handle_any)
     days = (simulate(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
     assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
 
 
 def test_machine_that_hangs_across_a_takeover_is_replaced():
-    """The new leader knows the machine only from the list and the records; it must not wait for a report."""
+    """The new leader knows the machine only from the list and the records; it must not wait for a heartbeat."""
 
     async def main():
         cluster = SimulatedCluster(8)
@@ -140,15 +143,15 @@
 
 
 @pytest.mark.parametrize(
-    ("survivors", "outage_s", "live_on"),
+    ("survivors", "outage_s", "tasks_survive"),
     [
-        (1, 30.0, True),  # longer than a lease; the one that stays vouches for what it heard from the leader
+        (1, 30.0, True),  # longer than a lease; the one that stays holds the cancellations that the leader sent it
         (2, 30.0, True),
         (0, 16.0, True),  # inside the leases
-        (0, 40.0, False),  # nobody knows which cancellations were told before: the leases have to run out
+        (0, 40.0, False),  # no controller knows which cancellations were confirmed before: the leases have to expire
     ],
 )
-def test_restarts_of_controllers_during_an_outage(survivors, outage_s, live_on):
+def test_restarts_of_controllers_during_an_outage(survivors, outage_s, tasks_survive):
     """Nobody can lead then: workers are renewed with their own token while knowledge allows."""
 
     async def main():
@@ -169,12 +172,12 @@
     starts, checker = virtual_time.run(main())
     assert starts == 4
     assert checker.broken == []
-    assert checker.starts == (starts if live_on else 2 * starts)
+    assert checker.starts == (starts if tasks_survive else 2 * starts)
     assert all(checker.present[(f"wk-{number:06d}", 0)] for number in range(4))
 
 
-def test_bad_input_gets_its_answer_under_load():
-    """The limit on requests in progress refuses work, never the judgement of what can't be taken."""
+def test_invalid_requests_are_answered_under_load():
+    """The limit on requests in progress refuses work, but never hides that a request is invalid."""
 
     async def main():
         cluster = SimulatedCluster(10)
@@ -260,8 +263,8 @@
     assert ended == [False, False, False]
 
 
-async def hundreds(seed):
-    """A large fleet through a mass restart, a leader that stands still in a mass loss, and an outage with deaths."""
+async def mass_failures(seed):
+    """Hundreds of machines: a mass restart, a leader paused during a mass loss, and an outage with lost machines."""
     limits = {"report_s": 2.5, "lease_s": 15.0}
     cluster = SimulatedCluster(
         seed, machines=200, teams=6, guarantee=50.0, limit=200.0, capacity=(50, 20), limits=limits, copies=0.02
@@ -303,7 +306,7 @@
 
 
 def test_hundreds_of_machines_through_mass_restart_freeze_loss_and_outage():
-    cluster, up = virtual_time.run(hundreds(1))
+    cluster, up = virtual_time.run(mass_failures(1))
     assert cluster.checker.broken == []
     assert cluster.state.oversized == 0
     assert up == 120  # every replica is up again
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -1,5 +1,4 @@
-"""What users wait for comes first: submissions and cancellations neither queue behind questions nor behind
-the leader's own writes."""
+"""Users' writes have priority: submissions queue neither behind queries nor behind the leader's own writes."""
 
 import asyncio
 
@@ -10,9 +9,9 @@
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
-PROMPT_S = 0.15  # of virtual time: one commit, and the wait for a few changes at the service's rate
+PROMPT_S = 0.15  # of virtual time: one commit, and the delay of a few changes at the store's rate limit
 
-FEW_REQUESTS = 12.0  # to the state service a second, as a follower at a small service has
+FEW_REQUESTS = 12.0  # to the key-value store a second, as a follower of a small deployment has
 
 
 async def submit(cluster, node, number):
@@ -24,8 +23,8 @@
     return status, cluster.now() - began
 
 
-async def ask_without_end(cluster, node, job, answers):
-    """A user who asks after a job ten times a second."""
+async def query_repeatedly(cluster, node, job, answers):
+    """A user who queries a job ten times a second."""
     while True:
         status, _ = await cluster.ask("GET", f"/v2/runs/{job}", node=node)
         answers.append(status)
@@ -33,8 +32,8 @@
 
 
 @pytest.mark.parametrize("leading", [False, True])
-def test_submissions_do_not_queue_behind_questions(leading):
-    """Each question's read of the state once took its turn at the node's rate, and commits waited behind them."""
+def test_submissions_do_not_queue_behind_queries(leading):
+    """Each query's read of the store once counted against the node's rate limit, and commits waited behind them."""
 
     async def main():
         cluster = SimulatedCluster(400)
@@ -46,7 +45,7 @@
         answers = []
         for _ in range(80):
             await asyncio.sleep(0.013)
-            cluster.spawn(ask_without_end(cluster, node, "wk-000001", answers))
+            cluster.spawn(query_repeatedly(cluster, node, "wk-000001", answers))
         await asyncio.sleep(1.0)
         took = []
         for number in range(2, 12):
@@ -57,10 +56,10 @@
     took, answers = virtual_time.run(main())
     assert [status for status, _ in took] == [201] * 10
     assert max(seconds for _, seconds in took) < PROMPT_S
-    assert answers.count(200) > len(answers) / 2  # and most questions are answered
+    assert answers.count(200) > len(answers) / 2  # and most queries are answered
 
 
-def test_a_full_limit_on_questions_refuses_no_submission():
+def test_a_full_limit_on_queries_refuses_no_submission():
     async def main():
         cluster = SimulatedCluster(401)
         await cluster.wait_for_leader()
@@ -75,12 +74,12 @@
             answers.append(answer if isinstance(answer, Response) else await answer)
         return answers
 
-    question, submission = virtual_time.run(main())
-    assert (question.status, submission.status) == (429, 201)
-    assert question.retry_after is not None
+    query, submission = virtual_time.run(main())
+    assert (query.status, submission.status) == (429, 201)
+    assert query.retry_after is not None
 
 
-def test_submissions_do_not_queue_behind_the_writes_of_many_ends():
+def test_submissions_do_not_queue_behind_the_writes_of_many_finished_jobs():
     """The leader once spent its rate of changes for a second ahead on each large transaction of its own."""
 
     async def main():
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -1,4 +1,4 @@
-"""What users, workers, cloud and state may send, and what becomes of it."""
+"""Codecs of users, workers, cloud and key-value store: what is parsed, what is refused, what is sent."""
 
 import cbor2
 import pytest
@@ -72,7 +72,7 @@
     )
 
 
-REPORT = {
+HEARTBEAT = {
     "stack": "host-1",
     "addr": "10.1.0.1:9000",
     "binding": "box",
@@ -86,16 +86,16 @@
 }
 
 
-def test_report():
-    report = workers.parse_heartbeat(cbor2.dumps(REPORT))
-    assert (report.machine, report.incarnation, report.sequence, report.token, report.notice) == (
+def test_heartbeat_is_parsed():
+    heartbeat = workers.parse_heartbeat(cbor2.dumps(HEARTBEAT))
+    assert (heartbeat.machine, heartbeat.incarnation, heartbeat.sequence, heartbeat.token, heartbeat.notice) == (
         "host-1",
         2,
         88,
         41,
         None,
     )
-    task = report.tasks[0]
+    task = heartbeat.tasks[0]
     assert (task.job, task.index, task.attempt_number, task.state, task.exit_reason, task.saved) == (
         "wk-1",
         3,
@@ -125,9 +125,9 @@
         {8: "not text"},
     ],
 )
-def test_malformed_reports(change):
+def test_malformed_heartbeats(change):
     with pytest.raises(MalformedBodyError):
-        workers.parse_heartbeat(cbor2.dumps({**REPORT, **change}))
+        workers.parse_heartbeat(cbor2.dumps({**HEARTBEAT, **change}))
 
 
 def test_answers_to_workers():
@@ -161,7 +161,7 @@
         (store.parse_failed, {}),
     ],
 )
-def test_malformed_answers_are_bad_bodies(parse, raw):
+def test_malformed_answers_are_refused(parse, raw):
     with pytest.raises(MalformedBodyError):
         parse(cbor2.dumps(raw))
 
--- a/tools/admission_load_test.py
+++ b/tools/admission_load_test.py
@@ -1,6 +1,6 @@
 """A long flood on loopback: python tools/admission_load_test.py [--off] [--minutes M] [--rate R] [--seed S].
 
-Not a test: it measures in real time. Three controller processes, stand-ins for state service, cloud and workers, a
+Not a test: it measures in real time. Three controller processes, stand-ins for key-value store, cloud and workers, a
 flood of batch submissions, interactive ones, and a class of low priority; the leader is killed every few minutes.
 """
 
--- a/tools/measure_leader_cpu.py
+++ b/tools/measure_leader_cpu.py
@@ -63,7 +63,7 @@
 
 
 def large_job(cluster, number):
-    """Gangs of whole machines, wide arrays and replicas, more than there is room for."""
+    """Gangs of full machines, wide arrays and replicas, more than there is capacity for."""
     rng = cluster.rng
     kind = rng.choices(["batch", "group", "service"], [2, 6, 1])[0]
     fields = {"format": kind, "edition": f"img-{rng.randint(0, 40)}", "imageGb": 6.0, "loaners": kind != "service"}
@@ -78,7 +78,7 @@
 
 
 async def main(machines, duration, admission):
-    """A fleet of which a quarter is up at the start, with a sixth of the jobs there then and the rest over time."""
+    """A quarter of the machines is up at the start; a sixth of the jobs is submitted then, the rest over time."""
     cluster = SimulatedCluster(
         1,
         machines=machines // 4,
