--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small builders for the tables of cases."""
+"""Builders of specs, heartbeats and a scheduler for the tables of cases."""
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
@@ -68,14 +68,14 @@
         return self.job_table.load(new_job_record(spec(number, **fields), at), self.revision, at, at)
 
     def commit(self):
-        """Everything is committed."""
+        """Mark every change of the job table as committed."""
         for job in self.job_table.jobs.values():
             for page in job.pages.values():
                 page.committed_version = page.version
         self.job_table.uncommitted.clear()
 
     def refresh(self, now):
-        """Every machine has just reported, and nothing runs there."""
+        """Give every machine a heartbeat at this time in which no task runs."""
         for machine in self.inventory.machines.values():
             machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
 
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -406,11 +406,11 @@
     assert text(plain(decisions)) == text(positional(spelt("log/decisions")))
 
 
-# -- records that the code makes in passing: what it sends to the services is recorded -----------------------
+# -- records that the code makes while it works: what it sends to the services is recorded -------------------
 
 
 class RecordingHttp:
-    """Keeps what a client sends, and answers as a service would that carries out everything."""
+    """Records what a client sends, and answers like a service that carries out every request."""
 
     ANSWERS: ClassVar = {
         "/commit": {"ledger": 4711},
@@ -468,15 +468,15 @@
     return replica
 
 
-def a_node(http, admission=None, links=()):
-    """A controller whose copy of the state is empty and up to date."""
+def make_node(http, admission=None, links=()):
+    """A controller whose replica is empty and up to date."""
     node = Node(make_settings(admission), state_client(http), cloud_client(http), links, random.Random(5))
     node.replica.loaded, node.replica.revision = True, 4710
     return node
 
 
 def make_leadership(client, replica, term=41, stamp=97):
-    """A leadership that has just been taken."""
+    """A leadership that has just begun."""
     leadership = Leadership(make_settings(), client, replica, random.Random(5))
     leadership.leading, leadership.term, leadership.leader_revision = True, term, stamp
     return leadership
@@ -546,7 +546,7 @@
 
 async def withdraw_a_job(http):
     """A user cancels a job."""
-    node = a_node(http)
+    node = make_node(http)
     value = msgspec.json.decode(golden("records/job_array.record"))
     node.replica.entries["p/j/wk-4071"] = store.Entry("p/j/wk-4071", value, 98)
     answer = await node.handle(Request("POST", "/v2/runs/wk-4071/withdraw", b""))
@@ -602,7 +602,7 @@
 
 
 async def rent_machines(http):
-    """A rental: written ahead, asked for, and settled."""
+    """A provisioning request: its intent written first, sent, and completed."""
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
     provisioner = make_provisioner(client, http, leadership)
@@ -620,7 +620,7 @@
 
 
 async def delete_listed_machines(http):
-    """Of the machines in the cloud's list, one has failed, and one runs without ever reporting."""
+    """Of the machines in the cloud's list, one has failed, and one runs without any heartbeat."""
     http.listed = [golden("cloud/machines_last_page.cbor"), golden("cloud/machines_mute.cbor")]
     client = state_client(http)
     leadership = make_leadership(client, make_replica(client))
@@ -632,7 +632,7 @@
 
 
 async def take_the_leadership(http):
-    """A node takes its own former key over, with the next term."""
+    """A node takes over its own former leader key, with the next term."""
     client = state_client(http)
     former = [store.Entry("p/lead", {"node": "n1", "term": 40}, 95), store.Entry("p/term", 40, 94)]
     leadership = Leadership(make_settings(), client, make_replica(client, former), random.Random(5))
@@ -699,7 +699,7 @@
 
 
 def loaded(entries):
-    """The books of a new term, from a copy of the state with these entries."""
+    """What a new term has loaded from a replica with these entries."""
     harness = SchedulerHarness((), page=4)
     client = state_client(RecordingHttp())
     rounds, queue = make_rounds(client, harness), commit_queue(client, harness.job_table)
@@ -710,7 +710,7 @@
 
 
 def job_values(job):
-    """What the books hold of a job."""
+    """A job as the job table holds it."""
     pages = [
         [number, one.first, one.attempt_number, one.completed, one.mod_revision]
         for number, one in sorted(job.pages.items())
@@ -747,7 +747,7 @@
 @pytest.mark.parametrize(("fixture", "records"), [("running_job", ["attempts"]), ("queued_job", ["submission"])])
 def test_golden_records_of_a_job_answer_a_query(fixture, records, wall_clock):
     async def main():
-        node = a_node(RecordingHttp())
+        node = make_node(RecordingHttp())
         node.user_api.lookup.page_size = 4
         node.replica.entries.update({entry.key: entry for entry in golden_entries(*records)})
         return await node.handle(Request("GET", "/v2/runs/wk-4071", b""))
@@ -759,7 +759,7 @@
 
 def test_golden_submission_gets_the_golden_answer(wall_clock):
     async def main():
-        node = a_node(RecordingHttp())
+        node = make_node(RecordingHttp())
         node.catalog.types = cloud.parse_types(golden("cloud/machine_types.cbor"))
         return await node.handle(Request("POST", "/v2/runs", golden("users/submission_known_team.cbor")))
 
@@ -770,24 +770,24 @@
 
 @pytest.mark.parametrize(("key", "place"), [("p/f/wk-4071", "done"), ("p/f/wk-4072", "cancelled")])
 def test_golden_final_states_are_answered_to_users(key, place, wall_clock):
-    """Read by the key, where the copy of the state has forgotten it, and from a change that the copy is shown."""
+    """Read by its key, where the replica no longer holds it, and from a change that the replica applies."""
     entry = next(entry for entry in golden_entries("finished_jobs") if entry.key == key)
     job_id = key.rpartition("/")[2]
 
     async def main():
         http = RecordingHttp({key: (entry.value, entry.mod_revision)})
-        answer = await a_node(http).handle(Request("GET", f"/v2/runs/{job_id}", b""))
-        shown = make_replica(state_client(http), revision=4000)
+        answer = await make_node(http).handle(Request("GET", f"/v2/runs/{job_id}", b""))
+        replica = make_replica(state_client(http), revision=4000)
         http.ANSWERS = {
             "/changes?prefix=p/&after=4000&holdMs=4000": {
                 "ledger": 4001,
                 "events": [{"set": key, "v": entry.value, "stamp": 4001}],
             }
         }
-        work = asyncio.ensure_future(shown.run())
-        assert await shown.reach(4001, 5.0)
+        work = asyncio.ensure_future(replica.run())
+        assert await replica.reach(4001, 5.0)
         work.cancel()
-        return answer, dict(shown.finals)
+        return answer, dict(replica.finals)
 
     answer, finals = virtual_time.run(main())
     assert answer.status == 200
@@ -808,16 +808,16 @@
     assert virtual_time.run(main()) == ("n1", 41)
 
 
-def show(node, key, value, version=7):
-    """Let a node's copy of the state show an entry."""
+def apply_to_replica(node, key, value, version=7):
+    """Let a node's replica apply a change of an entry."""
     node.replica.apply([store.Change(key, True, value, version)], 0)
 
 
 def test_golden_grant_reference_counts_the_job_in_its_slot(wall_clock):
     async def main():
-        node = a_node(RecordingHttp(), AdmissionSettings())
+        node = make_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
-        show(node, "p/j/wk-4071", record)
+        apply_to_replica(node, "p/j/wk-4071", record)
         return plain(node.admission.admitted.of(4711))
 
     assert virtual_time.run(main()) == [[["team-ore", "class-sift"], 1]]
@@ -825,9 +825,9 @@
 
 def test_golden_allocation_opens_its_slot(wall_clock):
     async def main():
-        node = a_node(RecordingHttp(), AdmissionSettings())
+        node = make_node(RecordingHttp(), AdmissionSettings())
         for page, value in enumerate(spelt("records/allocation_pages")):
-            show(node, keys.allocation(4711, page), value)
+            apply_to_replica(node, keys.allocation(4711, page), value)
         stored = node.admission.allocations.get(4711)
         return plain(stored.allocation), stored.mod_revision, stored.pages
 
@@ -854,7 +854,7 @@
         client = state_client(http)
         leadership = make_leadership(client, make_replica(client))
         settings, admission = make_settings(AdmissionSettings()), AdmissionSettings()
-        control = a_node(RecordingHttp(), AdmissionSettings()).admission
+        control = make_node(RecordingHttp(), AdmissionSettings()).admission
         dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
@@ -918,7 +918,7 @@
 # -- messages between controllers, as they answer each other -------------------------------------------------
 
 
-class Neighbour:
+class FakePeer:
     """A subsystem with its part in the messages, and a link to the one peer; both keep what they get."""
 
     name = "admission"
@@ -940,13 +940,13 @@
         self.sent.append(frame(heartbeat))
 
 
-def peers_with_a_neighbour(known):
-    neighbour = Neighbour()
+def peers_with_a_fake(known):
+    peer = FakePeer()
     seen = []
-    view = make_heartbeat(spelt("peers/own_view"))
-    table = PeerTable([neighbour], 1.0)
-    peers = PeerExchange(table, lambda: view, lambda heartbeat: seen.append(plain(heartbeat)), known, [neighbour])
-    return peers, neighbour, seen
+    own_heartbeat = make_heartbeat(spelt("peers/own_view"))
+    table = PeerTable([peer], 1.0)
+    peers = PeerExchange(table, lambda: own_heartbeat, lambda heartbeat: seen.append(plain(heartbeat)), known, [peer])
+    return peers, peer, seen
 
 
 def test_answer_to_the_golden_message_keeps_its_bytes():
@@ -955,9 +955,9 @@
         known.learn(f"wk-{5000 + number}", 0.0)
 
     async def main():
-        peers, neighbour, seen = peers_with_a_neighbour(known)
+        peers, peer, seen = peers_with_a_fake(known)
         reply = peers.reply(receive_heartbeat(golden("peers/heartbeat_leader.frame")))
-        return frame(reply), neighbour.got, seen
+        return frame(reply), peer.got, seen
 
     answer, got, seen = virtual_time.run(main())
     assert decode_heartbeat(answer) == positional(spelt("peers/answer"))
@@ -971,7 +971,7 @@
 
     async def main():
         await asyncio.sleep(10.0)
-        node = a_node(RecordingHttp(), AdmissionSettings(), [Neighbour()])
+        node = make_node(RecordingHttp(), AdmissionSettings(), [FakePeer()])
         node.leadership.incarnation = node.admission.incarnation = 7000001
         node.replica.mark_complete(7.375)
         for number in range(3):
@@ -997,12 +997,12 @@
     known = CancellationLog(1e6)
 
     async def main():
-        peers, neighbour, _ = peers_with_a_neighbour(known)
-        neighbour.listener(PeerAnswer(receive_heartbeat(golden("peers/answer.frame")), 3.0))
+        peers, peer, _ = peers_with_a_fake(known)
+        peer.listener(PeerAnswer(receive_heartbeat(golden("peers/answer.frame")), 3.0))
         work = asyncio.ensure_future(peers.run(1.0))
         await asyncio.sleep(0.5)
         work.cancel()
-        return neighbour.sent
+        return peer.sent
 
     (question,) = virtual_time.run(main())
     assert known.entries_since(0, 100).job_ids == spelt("peers/answer")["cancelled"]
@@ -1079,8 +1079,8 @@
 @pytest.mark.parametrize("mark", [None, 4711, [], ["4711", 13], {"?": 1}])
 def test_an_unreadable_grant_reference_counts_in_no_slot(mark):
     async def main():
-        node = a_node(RecordingHttp(), AdmissionSettings())
-        show(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
+        node = make_node(RecordingHttp(), AdmissionSettings())
+        apply_to_replica(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
         return [node.admission.admitted.of(slot) for slot in (4711, 13)]
 
     assert virtual_time.run(main()) == [{}, {}]
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -63,7 +63,7 @@
 
 
 def logged_in(tree):
-    """The (event, level) pairs of a module; fails on a use of a level's function whose event it can't tell."""
+    """The (event, level) pairs of a module; fails on a use of a level's function without a literal event."""
     imports = [node for node in ast.walk(tree) if isinstance(node, ast.ImportFrom) and node.module == "passrock.logs"]
     names = {alias.asname or alias.name: alias.name for node in imports for alias in node.names}
     assert "event" not in names.values(), "an event is logged by the function of its level"
