--- a/src/passrock/admission/controller/submission_admitter.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -61,8 +61,10 @@
         slot = self.clock.number(now)
         flow = Flow(spec.team, spec.job_class)
         stored = self.allocations.get(slot)
-        consumed = self.grants.consume(slot, flow, self.weights.is_interactive(flow)) if stored is not None else None
-        if stored is None or consumed is None:
+        if stored is None:
+            return self._refuse(spec.id, flow, slot, now)
+        consumed = self.grants.consume(slot, flow, interactive=self.weights.is_interactive(flow))
+        if consumed is None:
             return self._refuse(spec.id, flow, slot, now)
         self.demand.record_admitted(spec.id, flow, slot)
         admission_token = AdmissionToken(
@@ -71,7 +73,7 @@
         self._in_progress[spec.id] = PendingAdmission(admission_token, consumed, 1)
         return admission_token
 
-    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+    def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
         """A request with an admission token is over; ``unused`` when it is certain that it accepted nothing."""
         pending = self._in_progress.get(spec.id)
         if pending is None:
--- a/src/passrock/admission/core/grants.py
+++ b/src/passrock/admission/core/grants.py
@@ -53,7 +53,7 @@
         """Whether this incarnation has any grants for the slot."""
         return slot in self._remaining
 
-    def consume(self, slot: int, flow: Flow, interactive: bool) -> ConsumedGrant | None:
+    def consume(self, slot: int, flow: Flow, *, interactive: bool) -> ConsumedGrant | None:
         """Consume one unit: the flow's own grant first, then the reserves that are open to it."""
         grant = self._remaining.get(slot)
         if grant is None:
--- a/src/passrock/admission/report.py
+++ b/src/passrock/admission/report.py
@@ -103,7 +103,7 @@
         return datetime.fromisoformat(text).timestamp()
 
 
-def run(paths: list[str], begin: str | None, end: str | None, as_json: bool) -> int:
+def run(paths: list[str], begin: str | None, end: str | None, *, as_json: bool) -> int:
     """Print the report; the exit code tells whether all of the log could be read."""
     try:
         first = parse_time(begin) if begin else float("-inf")
--- a/src/passrock/cli.py
+++ b/src/passrock/cli.py
@@ -47,7 +47,7 @@
     if args.command == "admission":
         from passrock.admission.report import run
 
-        return run(args.paths, args.begin, args.end, args.json)
+        return run(args.paths, args.begin, args.end, as_json=args.json)
     if args.config is None:
         build_parser().print_usage(sys.stderr)
         print("passrock: give --config FILE or a command", file=sys.stderr)
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -163,7 +163,7 @@
             return refuse(self.write_limiter, 503)
         finally:
             if admission_token is not None and self.admission_controller is not None:
-                self.admission_controller.request_finished(spec, grant_unused)
+                self.admission_controller.request_finished(spec, unused=grant_unused)
         if known is None:
             return refuse(self.write_limiter, 503)
         return Response(200, wire.brief_answer(spec.id, known.status))
--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -85,7 +85,7 @@
             self._look_at_waits(now)
 
     def _look_at_waits(self, now):
-        """Once troubles are over, no job may wait for 90 s while a fitting machine has room."""
+        """Once faults are over, no job may wait for 90 s while a fitting machine has room."""
         placed = {job for (job, _), places in self.present.items() if places}
         for job in self.accepted:
             spec = self.cluster.specs[job]
@@ -122,7 +122,7 @@
         return (max(zones.values(), default=0) if spec["samePlace"] else sum(zones.values())) >= tasks
 
     def asked(self, job):
-        """A user asks about an accepted job; once troubles are over it may not go unanswered for 75 s."""
+        """A user asks about an accepted job; once faults are over it may not go unanswered for 75 s."""
         now = self.cluster.now()
         since = max(self.unanswered_since.setdefault(job, now), self.cluster.disrupted_until)
         if now - since > 75.0:
--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -65,9 +65,9 @@
     names = on_machines(cluster, "wk-000004") + on_machines(cluster, "wk-000006")
     cut(cluster, kind, names, for_s)
     await cluster.crash([leader], 4.0)
-    met = any(kind == one and until > cluster.now() for one, _, until in cluster.cuts)
+    coincided = any(kind == one and until > cluster.now() for one, _, until in cluster.cuts)
     await asyncio.sleep(for_s)
-    return met and bool(names)
+    return coincided and bool(names)
 
 
 async def machines_unreachable_from_the_new_leader(cluster, leader):
@@ -82,20 +82,20 @@
         cluster.nodes[name].kill()
     await asyncio.sleep(5.0)
     alone = cluster.nodes[leader].node.leadership
-    met = alone.holds_lease() and alone.term > term
+    coincided = alone.holds_lease() and alone.term > term
     for name in others(cluster, leader):
         cluster.spawn(cluster.crash([name], 0.5))
-    return met
+    return coincided
 
 
 async def tasks_end_far_apart(cluster, leader):
     while cluster.checker.present.get(("wk-000002", 0)) or ("wk-000002", 0) not in cluster.completed:
         await asyncio.sleep(0.2)
     await cluster.crash([leader], 4.0)
-    met = ("wk-000002", 1) not in cluster.completed
+    coincided = ("wk-000002", 1) not in cluster.completed
     await asyncio.sleep(LONG / 2)
     await cluster.crash([await cluster.wait_for_leader()], 0.2)
-    return met and ("wk-000002", 2) in cluster.completed and ("wk-000002", 1) not in cluster.completed
+    return coincided and ("wk-000002", 2) in cluster.completed and ("wk-000002", 1) not in cluster.completed
 
 
 async def slow_state_then_refused_then_out(cluster, leader):
@@ -115,9 +115,9 @@
     cluster.cloud.delete(names[0])
     cut(cluster, "machine", names[1:], 30.0)
     await asyncio.sleep(2.0)
-    met = 0 < len(on_machines(cluster, "wk-000004")) <= 2
+    coincided = 0 < len(on_machines(cluster, "wk-000004")) <= 2
     await cluster.crash([await cluster.wait_for_leader()], 4.0)
-    return met
+    return coincided
 
 
 async def old_reports_after_newer_ones(cluster, leader):
@@ -126,17 +126,17 @@
     held = {name: [newest(cluster, name)] for name in names}
     await cluster.crash(list(cluster.nodes), cluster.limits["lease_s"] * 1.2)
     await asyncio.sleep(6.0)
-    met = True
+    coincided = True
     for name, bodies in held.items():
         bodies.append(newest(cluster, name))
-        met = met and cbor2.loads(bodies[0])["shift"] < cbor2.loads(bodies[1])["shift"]
+        coincided = coincided and cbor2.loads(bodies[0])["shift"] < cbor2.loads(bodies[1])["shift"]
     await asyncio.sleep(8.0)
     for _ in range(2):
         for body in [body for bodies in held.values() for body in bodies]:
             for node in cluster.nodes:
                 cluster.deliver_late_heartbeat(node, body)
         await asyncio.sleep(1.0)
-    return met
+    return coincided
 
 
 async def isolated_leader(cluster, leader):
@@ -186,7 +186,7 @@
 
 async def requests_at_the_end_of_the_last_task(cluster, leader):
     """A question, a cancellation and a repeated submission, each around the moment of the end."""
-    worlds_end = []
+    ended_jobs = []
     for number in range(50, 62):
         spec = cluster.job(number)
         cluster.spawn(cluster.user(spec, run_s=3.0))
@@ -195,13 +195,13 @@
         await asyncio.sleep(0.05)
         for number in range(50, 62):
             job = f"wk-{number:06d}"
-            if (job, 0) in cluster.completed and job not in worlds_end:
-                worlds_end.append(job)
+            if (job, 0) in cluster.completed and job not in ended_jobs:
+                ended_jobs.append(job)
                 if number % 3 == 0:
                     cluster.spawn(cluster.cancel_until_confirmed(job))
                 elif number % 3 == 1:
                     cluster.spawn(cluster.user(cluster.specs[job], run_s=3.0))
-    return len(worlds_end) == 12
+    return len(ended_jobs) == 12
 
 
 async def zone_cut_off(cluster, leader):
@@ -251,11 +251,11 @@
     await cluster.crash([leader], 4.0)
     new = await cluster.wait_for_leader()
     await asyncio.sleep(8.0)
-    met = all(cbor2.loads(body)["warrant"] < cluster.nodes[new].node.leadership.term for body in held.values())
+    coincided = all(cbor2.loads(body)["warrant"] < cluster.nodes[new].node.leadership.term for body in held.values())
     for body in held.values():
         cluster.deliver_late_heartbeat(new, body)
         cluster.deliver_late_heartbeat(others(cluster, new)[0], body)
-    return met
+    return coincided
 
 
 async def machines_unreachable_outbound(cluster, leader):
@@ -294,17 +294,17 @@
     ]
     cluster.impossible = {good["ref"]}
     cluster.specs[good["ref"]] = good
-    met = True
+    coincided = True
     for body, expected in bad:
         at = cluster.now()
         status, answer = await cluster.ask("POST", "/v2/runs", cbor2.dumps(body), 5.0)
         cluster.checker.answered(good["ref"], at, status, answer)
-        met = met and status in (expected, 0)
+        coincided = coincided and status in (expected, 0)
     for number in range(9):
         at, job = cluster.now(), f"wk-{number:06d}"
         status, answer = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.specs[job]), 5.0)
         cluster.checker.answered(job, at, status, answer, submission=True)
-    return met
+    return coincided
 
 
 REQUIRED = (
@@ -352,7 +352,7 @@
     cluster.disrupted_until = 1e9
     started_work(cluster)
     await asyncio.sleep(20.0)
-    met = await scenario(cluster, await cluster.wait_for_leader())
+    coincided = await scenario(cluster, await cluster.wait_for_leader())
     cluster.disrupted_until = cluster.now() + 10.0
     await asyncio.sleep(130.0)
-    return cluster, met
+    return cluster, coincided
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -160,7 +160,7 @@
     grants.add(allocation(a_batch=1))
     grants.add(allocation(a_batch=50))  # a slot has one allocation for ever
     batch, look = Flow("a", "batch"), Flow("a", "look")
-    sources = [grants.consume(7, flow, flow is look) for flow in (batch, look, batch, look, batch)]
+    sources = [grants.consume(7, flow, interactive=flow is look) for flow in (batch, look, batch, look, batch)]
     assert [one and one.source for one in sources] == [
         GrantSource.FLOW,
         GrantSource.INTERACTIVE,
@@ -169,15 +169,15 @@
         None,
     ]
     grants.restore(sources[0])
-    assert grants.consume(7, look, True) is None
-    assert grants.consume(7, batch, False).source is GrantSource.FLOW
-    assert grants.consume(8, batch, False) is None  # nothing was read for that slot
+    assert grants.consume(7, look, interactive=True) is None
+    assert grants.consume(7, batch, interactive=False).source is GrantSource.FLOW
+    assert grants.consume(8, batch, interactive=False) is None  # nothing was read for that slot
 
 
 def test_grants_of_a_former_life_are_not_ones_own():
     grants = GrantLedger("n1", 6)
     grants.add(allocation(incarnation=5, a_batch=9))
-    assert grants.consume(7, Flow("a", "batch"), False) is None
+    assert grants.consume(7, Flow("a", "batch"), interactive=False) is None
 
 
 def test_demand_counts_each_submission_once():
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -27,7 +27,7 @@
 BATCH, LOOK = 100_000, 900_000
 
 
-def flood(cluster, checker, rate=20.0, for_s=40.0, node=None):
+def submit_overload(cluster, checker, rate=20.0, for_s=40.0, node=None):
     """Batch work at several times the rate that can be admitted, and some interactive work."""
     batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
     look = SubmissionLoad(cluster, checker, LOOK, shelfmark="look", precedence="prod")
@@ -63,7 +63,7 @@
                 received(node, data)
 
         control.received = shuffled
-        flood(cluster, checker, node=hears)
+        submit_overload(cluster, checker, node=hears)
         await asyncio.sleep(30.0)
         node_grants = checker.allocation(slots_of(checker)[-1]).node_grants
         await asyncio.sleep(60.0)
@@ -84,16 +84,18 @@
     async def main():
         cluster, checker = overloaded_cluster(2)
         await asyncio.sleep(WARM_S)
-        flood(cluster, checker, for_s=60.0)
+        submit_overload(cluster, checker, for_s=60.0)
         await asyncio.sleep(6.0)
         leader = leader_of(cluster)
         commit = leader.node.store.commit
-        met = []
+        late_slots = []
 
         async def meets(conditions, writes):
-            if met or not any(key.startswith(keys.ALLOCATION) and not version for key, version in conditions.items()):
+            if late_slots or not any(
+                key.startswith(keys.ALLOCATION) and not version for key, version in conditions.items()
+            ):
                 return await commit(conditions, writes)
-            met.append(max(slots_of(checker)) + 1)
+            late_slots.append(max(slots_of(checker)) + 1)
             if moment == "frozen":
                 leader.frozen_until = cluster.now() + 2.5 * SLOT_S
                 await asyncio.sleep(0.1)  # the transaction goes out when the process goes on
@@ -113,15 +115,15 @@
         await asyncio.sleep(2 * SLOT_S)
         begin = cluster.now() + TAKEOVER_S
         await asyncio.sleep(60.0)
-        return cluster, checker, met, begin
+        return cluster, checker, late_slots, begin
 
-    cluster, checker, met, begin = virtual_time.run(main())
-    assert met
+    cluster, checker, late_slots, begin = virtual_time.run(main())
+    assert late_slots
     assert checker.verify() == []
     assert cluster.checker.broken == []
     assert max(checker.waits("wk-9", begin)) <= BOUND_S
     after = checker.allocation(slots_of(checker)[-1])
-    assert after.slot > met[0] + 2
+    assert after.slot > late_slots[0] + 2
     terms = {checker.allocation(slot).term for slot in slots_of(checker)}
     assert len(terms) == (1 if moment == "answer_lost" else 2)
 
@@ -152,26 +154,26 @@
     assert first.pacing_share <= 1.0
 
 
-@pytest.mark.parametrize("trouble", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
-def test_state_service_troubles_for_several_slots(trouble):
+@pytest.mark.parametrize("fault", ["outage", "refused_leader", "refused_follower", "slow", "peers"])
+def test_store_faults_for_several_slots(fault):
     async def main():
         cluster, checker = overloaded_cluster(4)
         await asyncio.sleep(WARM_S)
-        flood(cluster, checker, for_s=70.0)
+        submit_overload(cluster, checker, for_s=70.0)
         await asyncio.sleep(6.0)
         leader = leader_of(cluster).name
         follower = next(name for name in cluster.nodes if name != leader)
-        if trouble == "outage":
+        if fault == "outage":
             await cluster.outage(3 * SLOT_S)
-        elif trouble == "slow":
+        elif fault == "slow":
             cluster.state_delay = 0.4
             await asyncio.sleep(3 * SLOT_S)
             cluster.state_delay = 0.0
-        elif trouble == "peers":
+        elif fault == "peers":
             cluster.cuts.append(("peers", "all", cluster.now() + 4 * SLOT_S))
             await asyncio.sleep(4 * SLOT_S)
         else:
-            await cluster.refuse(leader if trouble == "refused_leader" else follower, 3 * SLOT_S)
+            await cluster.refuse(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
         begin = cluster.now() + TAKEOVER_S
         await asyncio.sleep(60.0)
         return cluster, checker, begin
@@ -312,7 +314,7 @@
         cluster.clock_offset[name] = offset
     cluster.rng.shuffle(list(cluster.nodes))
     await asyncio.sleep(8.0)
-    flood(cluster, checker, rate=12.0, for_s=for_s)
+    submit_overload(cluster, checker, rate=12.0, for_s=for_s)
     cluster.disrupted_until = 8.0 + for_s + 60.0
     cluster.spawn(cluster.faults(8.0 + for_s, gap))
     await asyncio.sleep(for_s)
@@ -329,11 +331,11 @@
         assert len(checker.accepted_at) > 0, seed
 
 
-def spend_nothing(monkeypatch):
-    take = GrantLedger.consume
+def consume_nothing(monkeypatch):
+    consume = GrantLedger.consume
 
-    def free(self, slot, flow, interactive):
-        consumed = take(self, slot, flow, interactive)
+    def free(self, slot, flow, *, interactive):
+        consumed = consume(self, slot, flow, interactive=interactive)
         if consumed is not None:
             self.restore(consumed)
         return consumed
@@ -347,12 +349,12 @@
 
     async def twice(self, slot):
         await decide(self, slot)
-        stored = self.store.get(slot)
+        stored = self.allocations.get(slot)
         if stored is not None:
-            entry, _ = await self.state.get(keys.allocation(slot, 0))
+            entry, _ = await self.store.get(keys.allocation(slot, 0))
             if entry is not None:
                 value = {**entry.value, "again": True}
-                await self.state.commit({}, [msgspec.structs.replace(self._put(slot), value=value)])
+                await self.store.commit({}, [msgspec.structs.replace(self._put(slot), value=value)])
 
     from passrock.wire.store import Put
 
@@ -360,7 +362,7 @@
     monkeypatch.setattr(SlotAllocator, "decide", twice)
 
 
-def ignore_lives(monkeypatch):
+def ignore_incarnations(monkeypatch):
     """A restarted controller that takes its former incarnation's grants for its own."""
 
     def open_any(self, allocation):
@@ -374,9 +376,9 @@
 @pytest.mark.parametrize(
     ("unsafe", "rules"),
     [
-        (spend_nothing, {"over_grant"}),
+        (consume_nothing, {"over_grant"}),
         (decide_again, {"two_allocations"}),
-        (ignore_lives, {"no_grant", "over_grant"}),
+        (ignore_incarnations, {"no_grant", "over_grant"}),
     ],
 )
 def test_the_checker_catches_unsafe_variants(unsafe, rules, monkeypatch):
@@ -424,7 +426,7 @@
 async def overloaded(seed, admission):
     cluster, checker = overloaded_cluster(seed, admission=admission)
     await asyncio.sleep(WARM_S)
-    flood(cluster, checker)
+    submit_overload(cluster, checker)
     await asyncio.sleep(75.0)
     return checker
 
@@ -475,7 +477,7 @@
         bare = AdmissionSettings(interactive_share=0.0, burst_share=0.0, interactive_most=0.0)
         cluster, checker = overloaded_cluster(11, admission=bare)
         await asyncio.sleep(WARM_S)
-        flood(cluster, checker, rate=4.0, for_s=20.0)
+        submit_overload(cluster, checker, rate=4.0, for_s=20.0)
         await asyncio.sleep(60.0)
         return checker
 
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -7,14 +7,14 @@
 from standins import virtual_time
 from standins.scenarios import others, settled_cluster
 
-# What the controller that confirmed, or all of them, meet inside the outage: (trouble, whether the tasks of jobs that
+# What the controller that confirmed, or all of them, meet inside the outage: (fault, whether the tasks of jobs that
 # nobody cancelled must live on).
 GAPS = [
     ("nothing", True),
-    ("teller crashes", False),
-    ("teller crashes and is back at once", False),
-    ("teller stands still", False),
-    ("teller loses its peers", False),
+    ("confirmer crashes", False),
+    ("confirmer crashes and is back at once", False),
+    ("confirmer stands still", False),
+    ("confirmer loses its peers", False),
     ("all restart", False),
     ("leader restarts", False),
     ("workers reach the leader only", False),
@@ -22,44 +22,44 @@
 ]
 
 
-async def gap(seed, trouble, pause=0.3):
+async def outage_after_refusal(seed, fault, pause=0.3):
     """The state service refuses the leader alone, another node confirms, then the service is out for all."""
     cluster, leader = await settled_cluster(seed)
-    teller, third = others(cluster, leader)
-    if trouble == "workers reach the leader only":
-        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (teller, third)]
+    confirmer, third = others(cluster, leader)
+    if fault == "workers reach the leader only":
+        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (confirmer, third)]
         await asyncio.sleep(15.0)
     ((machine, _),) = cluster.checker.present[("wk-000000", 0)]
     cancel_s = cluster.limits["cancel_s"]
     cluster.spawn(cluster.refuse(leader, 14.0))
     await asyncio.sleep(1.5)
     if not pause:
-        cluster.spawn(cluster.refuse(third, 1.0))  # nobody but the teller can know
+        cluster.spawn(cluster.refuse(third, 1.0))  # nobody but the confirmer can know
         await asyncio.sleep(0.5)
-    confirmed = await cluster.cancel("wk-000000", teller)
+    confirmed = await cluster.cancel("wk-000000", confirmer)
     known = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
-    if trouble == "teller crashes":
-        cluster.nodes[teller].kill()
-    elif trouble == "teller crashes and is back at once":
-        cluster.spawn(cluster.crash([teller], 0.1))
-    elif trouble == "teller stands still":
-        cluster.nodes[teller].frozen_until = cluster.now() + cancel_s * 1.5
-    elif trouble == "teller loses its peers":
-        cluster.cuts.append(("peers", teller, cluster.now() + cancel_s * 1.5))
-    elif trouble == "machine hangs":
+    if fault == "confirmer crashes":
+        cluster.nodes[confirmer].kill()
+    elif fault == "confirmer crashes and is back at once":
+        cluster.spawn(cluster.crash([confirmer], 0.1))
+    elif fault == "confirmer stands still":
+        cluster.nodes[confirmer].frozen_until = cluster.now() + cancel_s * 1.5
+    elif fault == "confirmer loses its peers":
+        cluster.cuts.append(("peers", confirmer, cluster.now() + cancel_s * 1.5))
+    elif fault == "machine hangs":
         cluster.workers[machine].hung_until = cluster.now() + cancel_s * 3
     await asyncio.sleep(pause)
     cluster.spawn(cluster.outage(cancel_s * 1.4))
-    if trouble == "all restart":
+    if fault == "all restart":
         await asyncio.sleep(10 * pause)
         await cluster.crash(list(cluster.nodes), 1.0)
-    elif trouble == "leader restarts":
+    elif fault == "leader restarts":
         await asyncio.sleep(10 * pause)
         await cluster.crash([leader], 1.0)
     bystanders = {
         job
         for (job, _), places in cluster.checker.present.items()
-        if job != "wk-000000" and (trouble != "machine hangs" or machine not in dict(places))
+        if job != "wk-000000" and (fault != "machine hangs" or machine not in dict(places))
     }
     await asyncio.sleep(cancel_s)
     survivors = bystanders <= {job for (job, _), places in cluster.checker.present.items() if places}
@@ -69,14 +69,14 @@
     return cluster, confirmed, known, survivors, led, starts
 
 
-@pytest.mark.parametrize(("trouble", "lives_on"), GAPS)
+@pytest.mark.parametrize(("fault", "lives_on"), GAPS)
 @pytest.mark.parametrize(("seed", "pause"), [(200, 0.3), (201, 0.0)])
-def test_gap_between_a_refused_leader_and_an_outage(seed, pause, trouble, lives_on):
+def test_gap_between_a_refused_leader_and_an_outage(seed, pause, fault, lives_on):
     """A leader that renews through an outage must know each cancellation that another controller confirmed.
 
     It once went by a majority's view of the service and the term alone, and kept cancelled tasks alive.
     """
-    cluster, confirmed, known, survivors, led, starts = virtual_time.run(gap(seed, trouble, pause))
+    cluster, confirmed, known, survivors, led, starts = virtual_time.run(outage_after_refusal(seed, fault, pause))
     assert confirmed  # by another controller
     assert not known  # the leader's copy did not have it
     assert cluster.checker.broken == []
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -17,7 +17,7 @@
     slow_state_then_refused_then_out,
     zone_bound_jobs_lose_machines,
 )
-from test_cancellation_across_outage import gap
+from test_cancellation_across_outage import outage_after_refusal
 
 
 def believes_that_it_knows(monkeypatch):
@@ -58,11 +58,13 @@
     monkeypatch.setattr(UserApi, "_query", _query)
 
 
-@pytest.mark.parametrize("trouble", ["teller crashes and is back at once", "teller loses its peers", "all restart"])
-def test_checker_catches_renewals_without_knowledge(monkeypatch, trouble):
+@pytest.mark.parametrize(
+    "fault", ["confirmer crashes and is back at once", "confirmer loses its peers", "all restart"]
+)
+def test_checker_catches_renewals_without_knowledge(monkeypatch, fault):
     """What is told is not enough where the one that told is gone: the bound is needed as well."""
     believes_that_it_knows(monkeypatch)
-    cluster = virtual_time.run(gap(201, trouble, 0.0))[0]
+    cluster = virtual_time.run(outage_after_refusal(201, fault, 0.0))[0]
     assert "ran_cancelled" in {one for _, one, _ in cluster.checker.broken}
 
 
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, brought about for certain: each case first shows that they met, then that no rule broke."""
+"""Two faults at once, brought about for certain: each case first shows that they met, then that no rule broke."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
 @pytest.mark.parametrize("zones", [("a", "b", "c"), ("a",)], ids=["three", "one"])
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_coinciding_failures(scenario, zones):
-    cluster, met = virtual_time.run(run_scenario(scenario, 300, zones))
-    assert met
+    cluster, coincided = virtual_time.run(run_scenario(scenario, 300, zones))
+    assert coincided
     assert cluster.checker.broken == []
     for job in cluster.checker.accepted - cluster.checker.cancel_asked:
         spec = cluster.specs[job]
