--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable
 
 from passrock.controller import keys
-from passrock.controller.intake import AdmissionController, Refusal
+from passrock.controller.admission_controller import AdmissionController, Refusal
 from passrock.controller.job_lookup import JobLookup, UnavailableError
 from passrock.controller.read_fence import READ_WAIT_S
 from passrock.controller.replica import Replica
@@ -15,7 +15,14 @@
 from passrock.core.cancellations import CancellationLog
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.core.model import JobSpec
-from passrock.core.records import CANCELLED, DONE, AdmissionToken, fits_record
+from passrock.core.records import (
+    CANCELLED,
+    DONE,
+    AdmissionToken,
+    CancellationRecord,
+    encode_record,
+    fits_record,
+)
 from passrock.core.submission_checks import rejection_reason
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError, UnknownOutcomeError
@@ -188,8 +195,9 @@
             if known.status in (DONE, CANCELLED):
                 return Response(200, wire.brief_answer(job_id, known.status))
             conditions = {keys.final(job_id): 0, keys.cancellation(job_id): 0}
+            record = encode_record(CancellationRecord(time_of_day()))
             try:
-                result = await self.store.commit(conditions, [Put(keys.cancellation(job_id), {"at": time_of_day()})])
+                result = await self.store.commit(conditions, [Put(keys.cancellation(job_id), record)])
             except UnknownOutcomeError:
                 continue  # it may have been applied: read again
             if isinstance(result, Committed):
