--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -12,8 +12,6 @@
 from passrock.core.model import ZERO_RESOURCES, JobKind, Priority, Resources, Team
 from passrock.core.objectives import ServiceLevelObjectives
 
-NO_OBJECTIVE_S = 1e9  # jobs without an objective that they can still meet come after all others, oldest first
-
 
 class DispatchOverrides(msgspec.Struct):
     """Ids of jobs that fair admission treats apart, so that no class of jobs starves.
@@ -28,10 +26,10 @@
 
 
 class JobRank(NamedTuple):
-    """Who preempts whom, higher is more: production, then what is guaranteed, then priority.
+    """A job's rank for preemption: production first, then guaranteed jobs, then by priority.
 
-    Only a job of strictly higher rank preempts another. Judging guarantees by what runs at the moment
-    instead let teams take the same machines from each other again and again.
+    Only a job of strictly higher rank preempts another. When guarantees were judged by what was running at the
+    moment, teams preempted each other on the same machines again and again.
     """
 
     is_production: bool
@@ -40,12 +38,21 @@
 
 
 class QueuePosition(NamedTuple):
-    """Sort key of a waiting job; the lowest is placed first."""
+    """Sort key of a waiting job; the lowest is placed first.
+
+    Attributes:
+        behind_objectives: whether the job has no objective left that it can still meet: such jobs come after the
+            others, oldest first.
+        place_by: monotonic time; the start of the wait for a starving job, the latest start for one with an
+            objective, otherwise the submission.
+        submitted: monotonic time.
+    """
 
     behind_prioritized: bool
     behind_production: bool
     behind_starving: bool
     behind_guaranteed: bool
+    behind_objectives: bool
     place_by: float
     submitted: float
 
@@ -107,7 +114,7 @@
     def ordered(self, now: float) -> list[Job]:
         """Jobs with tasks that may be placed now, most urgent first.
 
-        A gang waits until its last attempt has ended as a whole.
+        A gang waits until all tasks of its last attempt have ended.
         """
         ready = [
             job
@@ -125,14 +132,25 @@
         behind_prioritized = not self.is_prioritized(job)
         behind_production = not rank.is_production
         if self.objectives.is_starving(job, now):
-            # oldest first; otherwise those that have missed all objectives would wait for ever
+            # longest wait first; otherwise those that have missed all objectives would wait for ever
             return QueuePosition(
-                behind_prioritized, behind_production, False, False, job.waiting_since, job.submitted_at_monotonic
+                behind_prioritized,
+                behind_production,
+                behind_starving=False,
+                behind_guaranteed=False,
+                behind_objectives=False,
+                place_by=job.waiting_since,
+                submitted=job.submitted_at_monotonic,
             )
         latest_start = self.objectives.latest_start(
             job, now, guaranteed=rank.is_guaranteed, image_fetch_s=self.capacity.longest_image_fetch(job.spec)
         )
-        place_by = latest_start if latest_start is not None else NO_OBJECTIVE_S + job.submitted_at_monotonic
         return QueuePosition(
-            behind_prioritized, behind_production, True, not rank.is_guaranteed, place_by, job.submitted_at_monotonic
+            behind_prioritized,
+            behind_production,
+            behind_starving=True,
+            behind_guaranteed=not rank.is_guaranteed,
+            behind_objectives=latest_start is None,
+            place_by=job.submitted_at_monotonic if latest_start is None else latest_start,
+            submitted=job.submitted_at_monotonic,
         )
