--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -101,7 +101,7 @@
         if not scheduler.quotas.allows(job, spec.tasks if spec.kind is JobKind.GANG else 1):
             return Obstacle.TEAM_LIMIT
         if not any(
-            spec.allows(machine.type.name, machine.zone, machine.spot) and spec.resources.fits(machine.type.size)
+            spec.allows(machine.type.name, machine.zone, spot=machine.spot) and spec.resources.fits(machine.type.size)
             for machine in scheduler.capacity.schedulable
         ):
             return Obstacle.NO_MACHINE
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -7,8 +7,10 @@
 from passrock.core.messages import WorkerHeartbeat
 from passrock.core.model import MachineType
 
-# Names of deleted machines that are remembered: many times what the cloud's list could still show.
+# Names of deleted machines that are remembered: far more than an outdated list of the cloud can still contain.
 DELETED_NAMES_KEPT = 10_000
+# An incarnation that has outlived this many leases since an unacknowledged answer must have received later ones.
+ACKNOWLEDGING_LEASES = 2
 
 
 class MachineInventory:
@@ -16,7 +18,7 @@
 
     Attributes:
         machines: all that are not known to be deleted.
-        deleted: when the deletion of a machine was confirmed; an old list or heartbeat can't bring it back.
+        deleted: when the deletion of a machine was confirmed; an outdated list or heartbeat doesn't add it again.
         image_hints: images by machine, from an earlier leader's records, until the machine is first seen.
     """
 
@@ -34,8 +36,8 @@
         machine = self.machines.get(name)
         if machine is None:
             created_at = now - age
-            machine = Machine(name, machine_type, zone, spot, requested_at=created_at)
-            # one that is older than this term has had only since the term's beginning to send a heartbeat
+            machine = Machine(name, machine_type, zone, spot=spot, requested_at=created_at)
+            # a machine older than this term could send this leader a heartbeat only since the term began
             machine.last_heartbeat_at = max(self.health.observing_since, created_at)
             machine.last_answer_at = now
             machine.images.update(self.image_hints.pop(name, {}))
@@ -53,16 +55,16 @@
         machine = self.add(heartbeat.machine, machine_type, heartbeat.zone, spot=heartbeat.spot, now=now)
         if self._is_outdated(heartbeat, machine, now):
             return None
-        # the first heartbeat after missed ones may have been delayed too, its answer reaching nobody
+        # the first heartbeat after missed ones may be a delayed one, whose answer reaches nobody
         machine.on_probation = machine.heartbeat_received and self.health.is_unresponsive(machine, now)
         if not machine.heartbeat_received:
             machine.heartbeat_received = True
             machine.first_heartbeat_at = machine.idle_since = now
         elif heartbeat.incarnation > machine.incarnation and now - machine.last_answer_at < self.health.lease_s:
-            machine.record_unacknowledged_answer(now)  # its lease ran out although it was answered
+            machine.record_unacknowledged_answer(now)  # its lease expired although it was answered
         if (
             heartbeat.incarnation == machine.incarnation
-            and now - machine.last_unacknowledged_at > 2 * self.health.max_lease_s
+            and now - machine.last_unacknowledged_at > ACKNOWLEDGING_LEASES * self.health.max_lease_s
         ):
             machine.unacknowledged_answers = 0  # an incarnation outlives a lease only if answers arrive again
         machine.acknowledged_term = machine.acknowledged_term or heartbeat.token == self.term
@@ -74,9 +76,9 @@
         return machine
 
     def _is_outdated(self, heartbeat: WorkerHeartbeat, machine: Machine, now: float) -> bool:
-        """Whether a newer heartbeat was recorded before, or this one must have been delayed on its way.
+        """Whether a newer heartbeat was recorded before, or this one must have been delayed.
 
-        A heartbeat of an incarnation whose lease has ended since was delayed: the worker is in its next one.
+        If the lease of the heartbeat's incarnation has expired, the worker is in its next incarnation by now.
         """
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return True
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -30,7 +30,7 @@
         reported: whether a heartbeat has listed the attempt since it was last launched.
         state: as of the last heartbeat that listed it.
         stop_grace_s: set once the attempt has to stop: the seconds that it gets to save its work.
-        running_since: monotonic; when it was first seen to run in this term.
+        running_since: monotonic; when a heartbeat of this term first listed it as running.
         placed_at: monotonic.
     """
 
@@ -63,6 +63,11 @@
         """Whether the record that names this attempt is committed; only then it may be launched."""
         return self.job.page(self.index).committed_version >= self.page_version
 
+    @property
+    def can_save_checkpoint(self) -> bool:
+        """Whether the task has work that it can save in a checkpoint when it stops."""
+        return self.job.spec.checkpoint_interval_s > 0 and self.state is TaskState.RUNNING
+
     def gang_attempts(self) -> list[TaskAttempt]:
         """The attempts that stop and complete together with this one: its whole gang, or itself."""
         return list(self.job.attempts()) if self.job.spec.kind is JobKind.GANG else [self]
@@ -101,7 +106,7 @@
 
 
 class Job:
-    """An unfinished job as the leader knows it; monotonic times unless stated otherwise."""
+    """An unfinished job as the leader knows it; times are monotonic, in seconds, unless stated otherwise."""
 
     def __init__(self, spec: JobSpec, submitted_at: float, page_size: int, submitted_at_monotonic: float) -> None:
         """``submitted_at`` is the time of day, in seconds since the epoch."""
@@ -119,11 +124,11 @@
         self.requeued: set[int] = set()  # tasks that wait again after their attempt was lost
         self.retry_not_before = 0.0
         self.consecutive_failures = 0
-        self.avoided_machines: set[str] = set()  # on these a task of the job has failed
+        self.avoided_machines: set[str] = set()  # names of those on which a task of the job has failed
         self.waiting_since = submitted_at_monotonic
 
     def page(self, index: int) -> TaskPage:
-        """The page with this task; made when first needed."""
+        """The page with this task; created on first access."""
         number = index // self.page_size
         page = self.pages.get(number)
         if page is None:
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -19,7 +19,7 @@
         demand_version: counts the changes of what jobs still ask for.
         uncommitted: job ids and page numbers of records to be written, oldest change first.
         finalizing: ids of jobs that are over and whose final record has to be written.
-        cancelled: cancelled jobs that aren't finalized, for tasks of them may still be on machines.
+        cancelled: cancelled jobs that aren't removed yet; their tasks may still be on machines.
     """
 
     def __init__(self, page_size: int) -> None:
@@ -35,7 +35,7 @@
     # -- loading records --------------------------------------------------------------------
 
     def load(self, record: JobRecord, mod_revision: int, now: float, time_of_day: float) -> Job:
-        """Take in a job from its record.
+        """Load a job from its record.
 
         The job's age comes from the time of day at its submission. Counted from when this leader learned of
         the job, the age of every waiting job would start anew at each failover.
@@ -49,7 +49,7 @@
         return job
 
     def load_page(self, job: Job, number: int, record: TaskPageRecord | JobRecord, mod_revision: int) -> None:
-        """Take in one page of a job from its record."""
+        """Load one page of a job from its record."""
         page = job.page(number * self.page_size)
         page.attempt_number = record.attempt_number
         page.completed = int(record.completed_bitmap, 16)
@@ -64,7 +64,7 @@
             self._track(attempt)
 
     def check_loaded(self, job: Job) -> None:
-        """After all pages are in: a gang with some of its tasks missing is stopped."""
+        """Check a job after all its pages are loaded: a gang of which some tasks have no attempt is stopped."""
         if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self._stop_gang(job)
         self._finalize_if_over(job)
@@ -91,7 +91,7 @@
     # -- changes of attempts ----------------------------------------------------------------
 
     def start(self, job: Job, index: int, machine: Machine, attempt_number: int, now: float) -> TaskAttempt:
-        """Record an attempt; it may be launched once its record is committed."""
+        """Record a new attempt; it may be launched once its record is committed."""
         page = job.page(index)
         page.attempt_number = max(page.attempt_number, attempt_number)
         self._mark_uncommitted(job, page)
@@ -108,9 +108,9 @@
         return attempt
 
     def attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
-        """There is evidence that the attempt is no longer anywhere: the task waits again.
+        """Record that an attempt is proved to be on no machine any more: its task waits again.
 
-        A gang that lost a task can't go on, hence its other tasks are stopped.
+        A gang that lost a task can't continue, hence its other tasks are stopped.
         """
         job = attempt.job
         page = job.page(attempt.index)
@@ -127,7 +127,7 @@
         self._finalize_if_over(job)
 
     def attempt_completed(self, attempt: TaskAttempt) -> None:
-        """A task has completed; a gang completes as a whole with the first of its tasks."""
+        """Record that a task has completed; all tasks of a gang complete with the first of them."""
         job = attempt.job
         for ended in attempt.gang_attempts():
             del job.page(ended.index).attempts[ended.index]
@@ -138,20 +138,19 @@
         self._finalize_if_over(job)
 
     def lease_expired(self, machine: str, now: float) -> int:
-        """The machine's worker has lost its lease: its tasks end, at the latest when it wakes from hanging.
+        """Record that the lease of the machine's worker has expired; returns how many attempts were lost.
 
-        Those of cancelled jobs are kept until a heartbeat or a deletion proves them gone: the time within which
-        they have to end runs while a machine hangs, also for the next leader, which knows them by these records
-        alone. Returns how many attempts were lost.
+        The tasks have ended, or end when the worker resumes if it hangs. Those of cancelled jobs stay recorded until
+        a heartbeat or a deletion proves that they have ended: the time within which they have to end passes while
+        a machine hangs, also for the next leader, which knows of them by these records alone.
         """
-        attempts = [attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled]
-        for attempt in attempts:
-            self.attempt_lost(attempt, now)
-        return len(attempts)
+        return self._lose_all([attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled], now)
 
     def machine_lost(self, machine: str, now: float) -> int:
-        """The machine no longer exists; returns how many attempts were lost with it."""
-        attempts = list(self.attempts_on(machine))
+        """Record that the machine no longer exists; returns how many attempts were lost with it."""
+        return self._lose_all(list(self.attempts_on(machine)), now)
+
+    def _lose_all(self, attempts: list[TaskAttempt], now: float) -> int:
         for attempt in attempts:
             self.attempt_lost(attempt, now)
         return len(attempts)
@@ -171,7 +170,7 @@
     # -- changes of jobs --------------------------------------------------------------------
 
     def cancel(self, job: Job, confirmed_at: float) -> None:
-        """The user has had confirmed that the job is cancelled, at ``confirmed_at`` (monotonic) or later."""
+        """Cancel a job; its user received the confirmation at ``confirmed_at`` (monotonic) or later."""
         job.cancelled = True
         self.demand_version += 1
         self.cancelled[job.spec.id] = job
@@ -183,7 +182,7 @@
         self._finalize_if_over(job)
 
     def remove(self, job: Job) -> None:
-        """The job's final record is committed."""
+        """Remove a job whose final record is committed."""
         self.jobs.pop(job.spec.id, None)
         self.demand_version += 1
         self.cancelled.pop(job.spec.id, None)
@@ -192,7 +191,7 @@
             self.uncommitted.pop((job.spec.id, number), None)
 
     def _stop_gang(self, job: Job) -> None:
-        """Stop what is left of a gang: all of its tasks have to end before the next attempt."""
+        """Stop the remaining tasks of a gang: all have to end before its next attempt."""
         for attempt in list(job.attempts()):
             if attempt.stop_grace_s is None:
                 attempt.stop_grace_s = 0.0
@@ -210,8 +209,8 @@
         job.requeued.discard(index)
 
     def _finalize_if_over(self, job: Job) -> None:
-        over = job.cancelled or job.done_count == job.spec.tasks
-        if over and job.attempt_count == 0 and job.final_status is None:
+        is_over = job.cancelled or job.done_count == job.spec.tasks
+        if is_over and job.attempt_count == 0 and job.final_status is None:
             self.finalizing[job.spec.id] = None
 
     # -- bookkeeping ------------------------------------------------------------------------
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -31,15 +31,14 @@
     unavailable_until: dict[MachineOffering, float] = msgspec.field(default_factory=dict)
 
     def price(self, offering: MachineOffering) -> float:
-        """The current price an hour."""
-        machine_type = self.types[offering.machine_type]
-        return machine_type.spot_price if offering.spot else machine_type.price
+        """The current price per hour."""
+        return self.types[offering.machine_type].price_for(spot=offering.spot)
 
     def offerings_for(self, job: Job, objectives: ServiceLevelObjectives, now: float) -> list[MachineOffering]:
         """The available offerings that the job's tasks may use, cheapest first.
 
         A job that may use spot instances gets on-demand machines only when it would miss its objectives
-        otherwise: most of the time it can wait for capacity that is paid for already.
+        otherwise: most of the time it can wait for capacity that is already paid for.
         """
         available = [
             offering
@@ -82,5 +81,5 @@
             if job.spec.resources.fits(machine_type.size):
                 for zone in machine_type.zones:
                     for spot in (True, False):
-                        if job.spec.allows(machine_type.name, zone, spot):
+                        if job.spec.allows(machine_type.name, zone, spot=spot):
                             yield MachineOffering(machine_type.name, zone, spot)
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -12,11 +12,11 @@
 from passrock.core.model import JobKind, JobSpec
 from passrock.core.objectives import ServiceLevelObjectives
 
-# Costs are in seconds, so that they weigh against the wait for an image.
+# Costs are in seconds, so that they can be weighed against the wait for an image.
 FREE_SHARE_COST = 15.0  # times the share of the machine that stays free: bin packing
 OTHER_RESERVATION_COST = 4.0  # the machine is assigned to another team
 ON_DEMAND_COST = 40.0  # an on-demand machine for a job that may use spot instances
-FRAGMENTATION_COST = 40.0  # times the share that stays free beside a replica, for as long as that runs
+FRAGMENTATION_COST = 40.0  # times the share that stays free next to a replica, for as long as that runs
 FAILED_HERE_COST = 1000.0  # the job has failed on this machine
 
 # Cost, name of the machine (which decides between equal costs), machine; ordered by heapq.
@@ -54,9 +54,9 @@
         if machine.name in job.avoided_machines:
             cost += FAILED_HERE_COST
         if spec.kind is JobKind.SERVICE:
-            # Replicas run for long: spread over empty machines they fragment each, whose rest then serves no
-            # gang of whole machines and is paid for until the last replica ends. But where a replica is still
-            # fetching another image, both would be late.
+            # Replicas run for long: spread over empty machines they fragment each of them. What is left there is of
+            # no use to gangs that need entire machines, and is paid for until the last replica ends. But next to a
+            # replica that is still fetching another image, both would start late.
             occupied = self.job_table.attempts_by_machine.get(machine.name)
             cost += interference if occupied else FRAGMENTATION_COST * free_share
         return cost
@@ -65,7 +65,8 @@
         """Machines with free capacity that the job may use, in one zone or in all (None).
 
         An array that may use spot instances leaves on-demand machines to jobs that may not, as long as its
-        objectives leave it time: it took them for minutes, and gangs waited beside free spot instances.
+        objectives leave it time: arrays used to occupy them for minutes, and gangs waited although spot instances
+        were free.
         """
         spec = job.spec
         prefers_spot = may_wait_for_spot(spec)
@@ -77,7 +78,7 @@
             machine
             for machine in self.capacity.with_capacity
             if spec.resources.fits(self.capacity.on(machine))
-            and spec.allows(machine.type.name, machine.zone, machine.spot)
+            and spec.allows(machine.type.name, machine.zone, spot=machine.spot)
             and (zone is None or machine.zone == zone)
             and (machine.spot or not spot_only[machine.type.name])
             and self.holds.allows(job, machine)
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -1,4 +1,4 @@
-"""The vocabulary that all modules share: resources, teams, machine types and job specifications."""
+"""The types that all modules share: resources, teams, machine types and job specifications."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobKind(StrEnum):
-    """How the tasks of a job belong together."""
+    """How the tasks of a job relate: independent ones, a gang, or replicas of a service."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -27,7 +27,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """What a task requests or a machine offers, memory in GB; made by the thousand, hence without cyclic GC."""
+    """What a task requests or a machine offers, memory in GB; created in large numbers, hence without cyclic GC."""
 
     cpus: float
     gpus: float
@@ -92,7 +92,7 @@
 
     @property
     def has_guarantee(self) -> bool:
-        """Whether any capacity is promised to the team."""
+        """Whether any capacity is guaranteed to the team."""
         return self.cpus > 0 or self.gpus > 0
 
     def within_quota(self, used: Resources) -> bool:
@@ -123,9 +123,13 @@
     boot_s: float
     zones: tuple[str, ...]
 
+    def price_for(self, *, spot: bool) -> float:
+        """The price per hour of a spot instance or an on-demand machine."""
+        return self.spot_price if spot else self.price
+
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """What a user submitted; immutable for the life of the job.
+    """What a user submitted; never changes.
 
     Memory and image sizes are in GB; ``deadline_s`` counts from the submission.
     """
@@ -149,8 +153,8 @@
     checkpoint_save_s: float
     deadline_s: float | None
 
-    def allows(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Whether a machine of this type, zone and kind is allowed for the job."""
+    def allows(self, type_name: str, zone: str, *, spot: bool) -> bool:
+        """Whether the job may use machines of this type in this zone, spot instances or on-demand ones."""
         return (
             (self.types is None or type_name in self.types)
             and (self.zone is None or self.zone == zone)
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -9,7 +9,6 @@
 
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.machine import Machine
-from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, JobSpec
 from passrock.core.objectives import image_fetch_time
 from passrock.core.preemption_policy import PreemptionPolicy
@@ -76,7 +75,7 @@
         """The cheapest plan for the job's waiting tasks.
 
         Args:
-            job: a gang, for which the plan is complete, or another job, for as many tasks as can be had.
+            job: a gang, for which the plan is complete, or another job, for as many tasks as possible.
             now: monotonic time.
             max_image_fetch_s: machines on which the image would take longer are left out.
             elastic_only: whether only elastic work may be stopped.
@@ -99,7 +98,7 @@
         return best
 
     def _allowed_count(self, job: Job) -> int:
-        """How many waiting tasks the team's limit allows, up to those of one pass; all or none of a gang."""
+        """How many waiting tasks the team's quota allows, up to those of one pass; all or none of a gang."""
         if job.spec.kind is JobKind.GANG:
             return job.spec.tasks if self.quotas.allows(job, job.spec.tasks) else 0
         count = len(job.next_waiting(MAX_TASKS_PER_PASS))
@@ -118,7 +117,9 @@
         spec = job.spec
         options = []
         for machine in self.capacity.schedulable:
-            if not spec.allows(machine.type.name, machine.zone, machine.spot) or not self.holds.allows(job, machine):
+            if not spec.allows(machine.type.name, machine.zone, spot=machine.spot) or not self.holds.allows(
+                job, machine
+            ):
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
@@ -138,7 +139,7 @@
             return VictimChoice(0.0, [])
         attempts = self.job_table.attempts_on(machine.name)
         for attempt in attempts:
-            if attempt.stop_grace_s is not None:  # it is being stopped already
+            if attempt.stop_grace_s is not None:  # is already being stopped
                 free = free + attempt.job.spec.resources
         stoppable = [
             attempt
@@ -155,7 +156,9 @@
         total_loss = 0.0
         victims: list[TaskAttempt] = []
         # keys of attempts are unique, so that the attempts themselves are never compared
-        ranked = [(self.queue.rank(one.job), self._loss(one, now), one.key, one) for one in stoppable]
+        ranked = [
+            (self.queue.rank(attempt.job), self._loss(attempt, now), attempt.key, attempt) for attempt in stoppable
+        ]
         for _, loss_s, _, attempt in sorted(ranked):
             if resources.fits(free):
                 break
@@ -167,8 +170,8 @@
     def _loss(self, victim: TaskAttempt, now: float) -> float:
         """Seconds of work lost when this task is stopped, over its whole gang."""
         spec = victim.job.spec
-        can_save = spec.checkpoint_interval_s > 0 and victim.state is TaskState.RUNNING
-        lost = spec.checkpoint_save_s if can_save else now - victim.placed_at  # an unfinished fetch is lost too
+        # without a checkpoint all is lost since the placement, also an unfinished fetch
+        lost = spec.checkpoint_save_s if victim.can_save_checkpoint else now - victim.placed_at
         machine = self.inventory.machines.get(victim.machine)
         restart = image_fetch_time(spec, machine.type) if machine is not None else 0.0
         count = victim.job.attempt_count if spec.kind is JobKind.GANG else 1
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-MIN_SHORTFALL = 1e-6  # less than this is rounding
+MIN_SHORTFALL = 1e-6  # smaller differences are rounding errors
+JSON_NAME_OVERHEAD_BYTES = 3  # quotes and a comma
 
 
 class MachineView(msgspec.Struct, frozen=True):
@@ -51,7 +52,7 @@
     pages: list[list[str]] = [[]]
     page_bytes = 0
     for name in names:
-        name_bytes = len(name.encode()) + 3  # quotes and a comma
+        name_bytes = len(name.encode()) + JSON_NAME_OVERHEAD_BYTES
         if page_bytes + name_bytes > max_bytes and pages[-1]:
             pages.append([])
             page_bytes = 0
@@ -68,20 +69,20 @@
     """
 
     def __init__(self, machines: Iterable[MachineView]) -> None:
-        self._groups: dict[tuple[str, float], list[tuple[bool, str, MachineView]]] = {}
+        self._groups: dict[tuple[str, float], list[MachineView]] = {}  # the first to assign is last in its list
         for machine in machines:
             group = self._groups.setdefault((machine.zone, machine.size), [])
-            group.append((not machine.idle, machine.name, machine))
+            group.append(machine)
         for group in self._groups.values():
-            group.sort(key=lambda row: row[:2], reverse=True)
+            group.sort(key=lambda machine: (not machine.idle, machine.name), reverse=True)
 
     def candidates(self, assigned: Container[str]) -> Iterator[MachineView]:
         """The first machine of each group that is not among the ``assigned`` ones."""
         for group in self._groups.values():
-            while group and group[-1][1] in assigned:
+            while group and group[-1].name in assigned:
                 group.pop()
             if group:
-                yield group[-1][2]
+                yield group[-1]
 
 
 class ReservationState:
@@ -133,7 +134,10 @@
             surplus = [group[-1] for group in groups.values() if group and self.capacity - group[-1].size >= target]
             if not surplus:
                 return released
-            machine = max(surplus, key=lambda m: (m.idle, self.capacity_by_zone[m.zone], m.name))
+            machine = max(
+                surplus,
+                key=lambda candidate: (candidate.idle, self.capacity_by_zone[candidate.zone], candidate.name),
+            )
             groups[(machine.zone, machine.size)].pop()
             self.release(machine)
             released.append(machine)
@@ -142,7 +146,7 @@
         """Machines without the team's tasks by zone and size; the last one of each group is released first."""
         foreign = [machine for machine in self.machines.values() if self.request.team not in machine.teams]
         groups: dict[tuple[str, float], list[MachineView]] = {}
-        for machine in sorted(foreign, key=lambda m: (m.idle, m.name)):
+        for machine in sorted(foreign, key=lambda candidate: (candidate.idle, candidate.name)):
             groups.setdefault((machine.zone, machine.size), []).append(machine)
         return groups
 
@@ -175,10 +179,10 @@
     zones: tuple[str, ...],
     extra_zone_share: float,
 ) -> BindingResult:
-    """Hold one binding round.
+    """Compute one binding round.
 
-    Assignments that still serve are kept, surplus machines released, and free machines given to whichever
-    reservation lacks most: first for the guaranteed capacity of all teams, then for the rest.
+    Assignments that are still needed are kept, surplus machines are released, and each free machine is assigned to
+    the reservation with the largest shortfall: first for the guaranteed capacity of all teams, then for the rest.
 
     Args:
         machines: all that can be assigned.
@@ -221,7 +225,7 @@
 def _assign_free_machines(
     reservations: dict[str, ReservationState], free: dict[str, MachineView], zone_share: float | None
 ) -> None:
-    """Give the free machines away one by one, until none is left or no reservation lacks any."""
+    """Assign the free machines one by one, until none is left or no reservation has a shortfall."""
     pool = FreeMachinePool(free.values())
     pool_of_team = {
         team: FreeMachinePool(machine for machine in free.values() if team in machine.teams) for team in reservations
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -1,4 +1,4 @@
-"""What to scale out for waiting tasks, and which idle machines to scale in."""
+"""Which machines to scale out for waiting tasks, and which idle ones to scale in."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from passrock.core.objectives import ServiceLevelObjectives
 
 MINIMUM_CHARGE_S = 60.0  # the cloud charges a deleted machine for at least this long
-SMALL_ARRAY_TASKS = 64  # up to this many tasks get a slot each, however short they are
+SMALL_ARRAY_TASKS = 64  # up to this many tasks get capacity of their own each, however short they are
 MAX_MACHINES_PER_REQUEST = 50  # machines that one request to the cloud can ask for
 
 
 class CapacityBin(msgspec.Struct):
-    """A machine that exists, is booting or would be provisioned, with the capacity that is not planned for yet."""
+    """A machine that exists, is booting or would be provisioned, with the capacity that no planned task uses."""
 
     offering: MachineOffering
     free_capacity: Resources
@@ -31,7 +31,7 @@
         """Whether at least one of the job's tasks may run here and fits."""
         offering = self.offering
         return job.spec.resources.fits(self.free_capacity) and job.spec.allows(
-            offering.machine_type, offering.zone, offering.spot
+            offering.machine_type, offering.zone, spot=offering.spot
         )
 
     def fill(self, resources: Resources, max_tasks: int) -> int:
@@ -63,7 +63,9 @@
 
     if job.spec.kind is JobKind.GANG:
         return 0 if exceeds_quota(job.waiting) else job.waiting
-    return bisect_left(range(1, _tasks_worth_a_slot(job) + 1), True, key=exceeds_quota)
+    # the counts that exceed the quota follow all those that don't: bisection finds how many of these there are
+    counts = range(1, _tasks_worth_a_slot(job) + 1)
+    return bisect_left(counts, True, key=exceeds_quota)
 
 
 def _tasks_worth_a_slot(job: Job) -> int:
@@ -228,7 +230,7 @@
             continue
         if machine.name in job_table.attempts_by_machine:
             continue
-        price = machine.type.spot_price if machine.spot else machine.type.price
+        price = machine.type.price_for(spot=machine.spot)
         timeout_s = idle_timeout_s[machine.type.name] * (machine.type.price / price if price > 0 else 1.0)
         if now - machine.idle_since >= timeout_s and now - machine.requested_at >= MINIMUM_CHARGE_S:
             surplus.append(machine)
@@ -244,4 +246,8 @@
     if len(zones) < 2:
         return 0.0
     total = sum(available.values())
-    return max(0.0, *(production.get(zone, 0.0) - (total - available.get(zone, 0.0)) for zone in zones))
+    shortfalls = []
+    for lost_zone in zones:
+        left = total - available.get(lost_zone, 0.0)
+        shortfalls.append(production.get(lost_zone, 0.0) - left)
+    return max(0.0, *shortfalls)
--- a/src/passrock/core/starvation_holds.py
+++ b/src/passrock/core/starvation_holds.py
@@ -1,4 +1,4 @@
-"""Holds for starving jobs: machines kept free until all that a job needs are free at one time."""
+"""Holds for starving jobs: machines kept free until all that a job needs are free at the same time."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.quota import TeamQuotas
 
-HOLD_STOP_LATENCIES = 2  # a hold lasts for so many stop latencies, unless it is renewed
-HELD_BONUS_STOP_LATENCIES = 5  # so much longer a wait is accepted for each machine that is held already
+HOLD_STOP_LATENCIES = 2  # a hold lasts for this many stop latencies, unless it is renewed
+HELD_BONUS_STOP_LATENCIES = 5  # by which the wait may be longer for each machine that is already held
+MAX_HELD_SHARE = 0.5  # of the schedulable machines, beyond which jobs get their holds one after the other
 INCOMPLETE_PENALTY_S = 1e6  # zones with too few machines come after all others
 
 
@@ -57,9 +58,9 @@
     def renew(self, job: Job, now: float) -> None:
         """Hold the machines that are likely to be free for the job first, if it has waited long enough.
 
-        Smaller jobs took each machine as it came free or up, so that a large gang never saw all it needs at
-        one time. What runs on the machines ends by itself or is preempted where the rules of preemption
-        allow it; machines that boot are added as they come up.
+        Without holds, smaller jobs used each machine as soon as it was free or had booted, so that a large gang
+        never found all it needs free at the same time. What runs on the machines ends by itself or is preempted
+        where the rules of preemption allow it; booting machines are added once they are schedulable.
         """
         wanted = job.spec.tasks if job.spec.kind is JobKind.GANG else 1
         goes_first = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
@@ -67,8 +68,8 @@
             return
         held_already = self.holds.machines_of(job)
         held_for_others = len(self.holds) - len(held_already)
-        if held_for_others > 0 and 2 * (held_for_others + wanted) > len(self.capacity.schedulable):
-            return  # holds of others already are a large part of the fleet: one after the other
+        if held_for_others > 0 and held_for_others + wanted > MAX_HELD_SHARE * len(self.capacity.schedulable):
+            return
         chosen = self._choose(job, wanted, held_already, now)
         for name in held_already:
             self.holds.release(name)
@@ -97,7 +98,7 @@
         for machine in self.capacity.schedulable:
             if (zone is not None and machine.zone != zone) or not self.holds.allows(job, machine):
                 continue
-            if not spec.allows(machine.type.name, machine.zone, machine.spot):
+            if not spec.allows(machine.type.name, machine.zone, spot=machine.spot):
                 continue
             if not spec.resources.fits(machine.type.size):
                 continue
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -11,8 +11,9 @@
     if team is None:
         return "unknown team"
     if not any(
-        spec.resources.fits(kind.size) and any(spec.allows(kind.name, zone, False) for zone in kind.zones)
-        for kind in types.values()
+        spec.resources.fits(machine_type.size)
+        and any(spec.allows(machine_type.name, zone, spot=False) for zone in machine_type.zones)
+        for machine_type in types.values()
     ):
         return "a task fits no allowed machine type"
     at_once = 1 if spec.kind is JobKind.ARRAY else spec.tasks
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -14,11 +14,11 @@
 from passrock.core.quota import TeamQuotas
 from passrock.core.zone_constraint import ZoneConstraint
 
-MAX_TASKS_PER_PASS = 64  # of one job, so that no pass takes long; the next pass follows at once
+MAX_TASKS_PER_PASS = 64  # of one job, which bounds the time of a pass; the next pass follows at once
 
 
 class TaskShape(NamedTuple):
-    """What decides where a task fits; tasks of one shape are unschedulable together."""
+    """The properties that decide where a task fits; if one task of a shape is unschedulable, all are."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -69,7 +69,7 @@
         zones = ZoneConstraint.of(job, self.capacity.inventory)
         if zones.has_unknown_zone or not self.quotas.allows(job, 1):
             return []
-        # what stops a job with tasks in some zones, or one that waits for spot, may not stop others of its shape
+        # jobs with tasks in some zones, and those that wait for spot, may not fit where others of their shape do
         is_typical = not zones.counts and not may_wait_for_spot(spec)
         heap = self.scorer.candidate_heap(job, zones.required_zone, now)
         if not heap:
@@ -105,5 +105,8 @@
 
 def _drop_forbidden_zones(heap: list[Candidate], zones: ZoneConstraint) -> None:
     """Pop machines until the cheapest is in a zone that may take one more task."""
-    while heap and not zones.allows(heap[0][2].zone):
+    while heap:
+        _, _, cheapest = heap[0]
+        if zones.allows(cheapest.zone):
+            return
         heappop(heap)
