--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -1,7 +1,7 @@
 """The log of cancellations on one controller, how it is replicated, and up to when it is complete.
 
-Whoever renews a worker's lease keeps the tasks on it alive. So it must know every cancellation that any
-controller has confirmed to a user, except those so young that the lease it grants ends in time all the same.
+A controller that renews a worker's lease keeps the worker's tasks running. So it must know every cancellation that
+any controller has confirmed to a user, except those so recent that even the renewed lease expires in time.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
 
 
-def renewal_horizon(cancel_s: float, lease_s: float, report_s: float) -> float:
-    """How old, in seconds, a cancellation may be that a controller doesn't know when it renews a worker's lease.
+def renewal_horizon(cancel_s: float, lease_s: float, heartbeat_interval_s: float) -> float:
+    """The greatest age, in seconds, of a cancellation that a controller may not know when it renews a lease.
 
-    The lease expires at the latest ``lease_s`` after the renewal by any clock, and the tasks end with it; a
-    heartbeat interval is left for the worker to notice. All must be over within ``cancel_s`` of the confirmation.
+    By any clock, the lease expires at most ``lease_s`` after the renewal, and the tasks end with it; a heartbeat
+    interval is left for the worker to notice. All tasks must have ended within ``cancel_s`` of the confirmation.
     """
-    return (cancel_s - lease_s * CLOCK_DRIFT_FACTOR - report_s) / CLOCK_DRIFT_FACTOR
+    return (cancel_s - lease_s * CLOCK_DRIFT_FACTOR - heartbeat_interval_s) / CLOCK_DRIFT_FACTOR
 
 
 class LogSlice(NamedTuple):
@@ -38,11 +38,11 @@
     """The jobs whose cancellation is committed, in the order in which this process learned of them.
 
     A job is appended before this controller answers its user. Peers replicate the log slice by slice. Entries
-    older than ``keep_s`` are dropped: the rule itself says that their tasks ended long before.
+    older than ``keep_s`` are dropped: by the renewal rule itself their tasks ended long before.
 
     Args:
         keep_s: seconds for which an entry is kept.
-        on_learned: called with each new job id, whoever brought it: a user, a peer or the replica.
+        on_learned: called with each new job id, whether it came from a user, a peer or the replica.
     """
 
     def __init__(self, keep_s: float, on_learned: Callable[[str], None] | None = None) -> None:
@@ -69,8 +69,8 @@
         """Append a committed cancellation, unless it is known; returns whether it is new."""
         with self._lock:
             while self._order and now - self._order[0][1] > self.keep_s:
-                old, _ = self._order.popleft()
-                self._known.pop(old, None)
+                expired_id, _ = self._order.popleft()
+                self._known.pop(expired_id, None)
                 self.first += 1
             if job_id in self._known:
                 return False
@@ -95,7 +95,7 @@
         incarnation: which process of that node answered; each has a log of its own.
         replica_loaded: whether it has read the key-value store since its start.
         staleness_s: it knows everything that anyone confirmed this many seconds before it was asked, or earlier;
-            None when it can't say.
+            None when it doesn't know.
         first: index of the first of the entries below.
         total: the number of entries in its log so far.
         job_ids: a slice of its log.
@@ -112,8 +112,8 @@
 class PeerLogProgress:
     """How far one peer's log of cancellations has been applied here.
 
-    A peer that restarts begins a new log, and proves nothing by it before it has read the key-value store again:
-    what its former incarnation confirmed may be known to nobody.
+    A peer that restarts begins a new log, which proves nothing before the peer has read the key-value store again:
+    until then, no running process may know what the peer's former incarnation confirmed.
 
     Attributes:
         incarnation: the process of the peer whose log is being applied, 0 for none.
@@ -136,22 +136,22 @@
         """
         if answer.incarnation != self.incarnation:
             self.incarnation, self.applied = answer.incarnation, 0
-        fresh = answer.job_ids[max(0, self.applied - answer.first) :]
+        new_job_ids = answer.job_ids[max(0, self.applied - answer.first) :]
         self.applied = max(self.applied, answer.first + len(answer.job_ids))
         if self.applied >= answer.total:
             if answer.replica_loaded:
                 self.complete_until = max(self.complete_until, asked_at)
             if answer.staleness_s is not None:
                 self.claimed_until = max(self.claimed_until, asked_at - answer.staleness_s)
-        return fresh
+        return new_job_ids
 
 
 def complete_until(read_at: float, peers: Sequence[PeerLogProgress], now: float) -> float:
     """The time before which every cancellation confirmed by any controller is known here.
 
     ``read_at`` is when the last read of the key-value store began that proved this process's replica complete.
-    What this process confirmed it knows, and what its former incarnations confirmed it has read if it has read at
-    all.
+    This process knows what it confirmed itself; what its former incarnations confirmed, it knows once it has read
+    the store at all.
     """
     confirmed_by_all = min((peer.complete_until for peer in peers), default=now) if read_at > NEVER else NEVER
     return max(read_at, confirmed_by_all, max((peer.claimed_until for peer in peers), default=NEVER))
--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -2,19 +2,21 @@
 
 from __future__ import annotations
 
+from operator import itemgetter
+
 from passrock.core.free_capacity import FreeCapacity
 from passrock.core.job import TaskAttempt
 from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
 from passrock.core.model import JobKind, Resources
 
-OPEN_ENDED_S = 3600.0  # for what ends when its user says so: services, and orphans that nobody has an estimate for
+OPEN_ENDED_S = 3600.0  # for what ends at its user's request: services, and orphans, whose run time has no estimate
 
 
 class CapacityForecast:
-    """Seconds until capacity is free, by the owners' estimates of run times.
+    """Seconds until capacity is free, by the job owners' estimates of run times.
 
-    Kept for one pass: gangs of one class ask for the same of every machine.
+    Results are cached for one pass: gangs of one job class request the same resources of every machine.
 
     Args:
         job_table: what runs on the machines.
@@ -45,15 +47,15 @@
         if resources.fits(free):
             return 0.0
         attempts = self.job_table.attempts_on(machine.name)
-        ends = [(self._seconds_left(attempt, now), attempt.job.spec.resources) for attempt in attempts]
-        for seconds_left, released in sorted(ends, key=lambda end: end[0]):
+        releases = [(self._seconds_left(attempt, now), attempt.job.spec.resources) for attempt in attempts]
+        for seconds_left, released in sorted(releases, key=itemgetter(0)):
             free = free + released
             if resources.fits(free):
                 return seconds_left
         return OPEN_ENDED_S
 
     def _seconds_left(self, attempt: TaskAttempt, now: float) -> float:
-        """Seconds until the attempt is likely to end; none ends sooner than a stopped one."""
+        """Seconds until the attempt is likely to end; at least as long as stopping it would take."""
         spec = attempt.job.spec
         if attempt.stop_grace_s is not None:
             return self.stop_latency_s
--- a/src/passrock/core/concurrency_limiter.py
+++ b/src/passrock/core/concurrency_limiter.py
@@ -8,14 +8,21 @@
 MAX_RETRY_AFTER_S = 30
 BASELINE_DRIFT = 0.002  # per request, by which the baseline follows higher latencies
 DECREASE_FACTOR = 0.95
+CONGESTED_LATENCY_FACTOR = 2  # times the baseline: from there on a latency indicates a queue
 
 
 class AdaptiveConcurrencyLimiter:
     """A limit on requests in progress: additive increase, multiplicative decrease.
 
-    The lowest latency seen lately stands for a service without a queue. As long as requests take about
-    that long and the limit is in use it grows by one; it shrinks as soon as one fails or takes twice as long.
-    ``slack_s`` is a latency above the baseline that counts as none. Safe to use from several threads.
+    The baseline, the lowest recent latency, is taken for that of a service without a queue. While requests take
+    about that long and the limit is nearly reached, each of them raises the limit by one; a request that fails or
+    takes more than twice as long lowers it. Safe to use from several threads.
+
+    Args:
+        initial: the limit to begin with, in requests.
+        minimum: the least limit.
+        maximum: the greatest limit.
+        slack_s: seconds by which a latency may exceed the baseline before it counts as higher.
     """
 
     def __init__(self, initial: int, minimum: int, maximum: int, slack_s: float) -> None:
@@ -43,16 +50,16 @@
     def release(self, latency_s: float, *, failed: bool) -> None:
         """End a request and adapt the limit."""
         with self._lock:
-            is_limiting = self.in_progress >= int(self.limit) - 1
+            is_nearly_full = self.in_progress >= int(self.limit) - 1
             self.in_progress -= 1
             baseline_s = self._update_baseline(latency_s)
-            if failed or latency_s > 2 * baseline_s + self.slack_s:
+            if failed or latency_s > CONGESTED_LATENCY_FACTOR * baseline_s + self.slack_s:
                 self.limit = max(float(self.minimum), self.limit * DECREASE_FACTOR)
-            elif is_limiting and latency_s <= baseline_s + self.slack_s:
+            elif is_nearly_full and latency_s <= baseline_s + self.slack_s:
                 self.limit = min(float(self.maximum), self.limit + 1.0)
 
     def retry_after(self) -> int:
-        """Seconds after which a rejected user should come back."""
+        """Seconds after which a rejected user should retry."""
         with self._lock:
             wait = MIN_RETRY_AFTER_S + self.in_progress * (self._baseline_s or 0.0)
         return int(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait)))
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -10,11 +10,11 @@
 
 
 class FreeCapacity:
-    """Schedulable machines, with the tentative allocations of the present pass taken off.
+    """Schedulable machines, less the tentative allocations of the present pass.
 
     Attributes:
         schedulable: machines that may take tasks.
-        with_capacity: those of them on which the smallest waiting task fits; on a full fleet that is a handful.
+        with_capacity: those of them on which the smallest waiting task fits; only a few in a busy cluster.
         zones: zones of the schedulable machines, in the order of the inventory.
         machine_types: their types by name.
     """
@@ -41,7 +41,7 @@
                 self.machine_types[machine.type.name] = machine.type
 
     def narrow_to(self, waiting: list[Job]) -> None:
-        """Leave machines on which not even the smallest waiting task fits out of ``with_capacity``."""
+        """Restrict ``with_capacity`` to the machines on which at least the smallest waiting task fits."""
         least = smallest_request(waiting)
         self.with_capacity = [machine for machine in self.schedulable if machine.has_capacity_for(least)]
 
@@ -53,7 +53,7 @@
         return free
 
     def allocate(self, machine: Machine, resources: Resources) -> None:
-        """Take resources on the machine for the rest of the pass, or until they are released."""
+        """Allocate resources on the machine for the rest of the pass, or until they are released."""
         self._free[machine.name] = self.on(machine) - resources
 
     def release(self, machine: Machine, resources: Resources) -> None:
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -17,7 +17,7 @@
 
 
 class GangShape(NamedTuple):
-    """What decides, along with the number of tasks, where a gang fits."""
+    """The properties of a gang that decide, along with its number of tasks, where it fits."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -32,14 +32,14 @@
 
 
 class GangOption(NamedTuple):
-    """Machines for all tasks of a gang, in the order of its tasks, and what they cost in seconds."""
+    """Machines for all tasks of a gang, in the order of its tasks, and their cost in seconds."""
 
     cost: float
     machines: list[Machine]
 
 
 class GangPlacement:
-    """Places gangs, and has machines held for those that starve."""
+    """Places gangs, and holds machines for those that starve."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.holds = holds
         self.scorer = scorer
         self.starvation_holds = starvation_holds
-        self._unschedulable_shapes: dict[GangShape, int] = {}  # with the least number of tasks that didn't fit
+        self._unschedulable_shapes: dict[GangShape, int] = {}  # each with the least number of tasks that didn't fit
 
     def begin_pass(self) -> None:
         """Drop what the last pass found."""
@@ -89,7 +89,7 @@
         return best
 
     def _option_in(self, zone: str | None, job: Job, now: float) -> GangOption | None:
-        """The cheapest machines in a zone; the gang starts when the last of its images is there."""
+        """The cheapest machines in a zone; the gang starts when the last of them has fetched the image."""
         spec = job.spec
         machines: list[Machine] = []
         longest_fetch = total_cost = 0.0
@@ -109,7 +109,7 @@
 
     def _start(self, job: Job, machines: list[Machine], now: float) -> list[TaskAttempt]:
         attempt_number = job.next_attempt_number(0)
-        started = []
+        started: list[TaskAttempt] = []
         for index, machine in enumerate(machines):
             self.capacity.allocate(machine, job.spec.resources)
             self.holds.release(machine.name)
--- a/src/passrock/core/image_hints.py
+++ b/src/passrock/core/image_hints.py
@@ -1,4 +1,4 @@
-"""Stored hints on which machine has which images, for a leader that has not seen a heartbeat of them yet.
+"""Stored hints on which machine has which images, for a leader that has not received their heartbeats yet.
 
 A record is ``{"i": [[image, size in GB], ...], "m": {machine: [position of an image in "i", ...]}}``; a machine's
 images are in the order of their last use.
@@ -23,10 +23,10 @@
 
 def _encode_record(machines: list[Machine]) -> dict[str, Any]:
     sizes = {image: gb for machine in machines for image, gb in machine.images.items()}
-    position = {image: i for i, image in enumerate(sizes)}
+    position_of = {image: position for position, image in enumerate(sizes)}
     return {
         "i": [[image, gb] for image, gb in sizes.items()],
-        "m": {machine.name: [position[image] for image in machine.images] for machine in machines},
+        "m": {machine.name: [position_of[image] for image in machine.images] for machine in machines},
     }
 
 
--- a/src/passrock/core/instants.py
+++ b/src/passrock/core/instants.py
@@ -5,4 +5,4 @@
 import math
 from typing import Final
 
-NEVER: Final = -math.inf  # a time before every other: the thing it dates has not happened
+NEVER: Final = -math.inf  # before every other time: the event has not happened
--- a/src/passrock/core/lost_workers.py
+++ b/src/passrock/core/lost_workers.py
@@ -1,4 +1,4 @@
-"""Workers that come to a follower although they know the present term: they can't reach its leader any more."""
+"""Workers that contact a follower although they know the present term: they can no longer reach its leader."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 import msgspec
 
-FEW_WORKERS = 2  # workers that lose their leader one by one have faults of their own
+FEW_WORKERS = 2  # up to this many lost workers are taken to have faults of their own, rather than the leader
+RETENTION_LEASES = 0.25  # a worker that has found a leader again is forgotten after this part of a lease
 
 
 class Visit(msgspec.Struct):
-    """When a worker first and last came here instead of to the leader, and the highest term it knew."""
+    """When a worker first and last contacted this node instead of the leader (monotonic), and its last known term."""
 
     first_at: float
     last_at: float
@@ -19,26 +20,32 @@
 
 
 class LostWorkers:
-    """The workers that came to this follower lately, and whether they should avoid the leader.
+    """The workers that contacted this follower lately, and whether they should avoid the leader.
 
     A worker that is sent back to a leader it can't reach waits there for most of its lease. So it is first
     sent to another follower, for long enough that the leader can notice, step down and be replaced.
 
+    Args:
+        heartbeat_interval_s: the interval at which workers send heartbeats.
+        lease_s: the length of a worker's lease.
+        unresponsive_after_s: the time without a heartbeat after which the leader considers a worker unresponsive.
+
     Attributes:
         leader: the last leader that a worker lost, None for none.
         leader_term: the term of that leader.
     """
 
-    def __init__(self, report_s: float, lease_s: float, silence_limit_s: float) -> None:
-        self.retention_s = lease_s / 4  # a worker that has found a leader again is forgotten after this time
-        self.few_avoid_s = report_s  # how long one of few workers is kept away from the leader,
-        self.many_avoid_s = silence_limit_s + report_s  # and one of many: by then the leader misses their heartbeats
+    def __init__(self, heartbeat_interval_s: float, lease_s: float, unresponsive_after_s: float) -> None:
+        self.retention_s = lease_s * RETENTION_LEASES
+        self.few_avoid_s = heartbeat_interval_s  # how long one of few workers is kept away from the leader
+        # the same for one of many: by then the leader has noticed that their heartbeats are missing
+        self.many_avoid_s = unresponsive_after_s + heartbeat_interval_s
         self.leader: str | None = None
         self.leader_term = 0
         self._visits: OrderedDict[str, Visit] = OrderedDict()  # by machine, the latest visit at the end
 
     def record_visit(self, machine: str, term: int, leader: str | None, leader_term: int, now: float) -> None:
-        """A worker that knows ``term`` came here, while ``leader`` is the last one known, of ``leader_term``."""
+        """Record that a worker that knows ``term`` came here; ``leader`` of ``leader_term`` is the last known one."""
         self._expire(now)
         visit = self._visits.setdefault(machine, Visit(now, now, term))
         visit.last_at, visit.term = now, term
@@ -55,7 +62,7 @@
         """Whether this worker should try another follower before it goes back to the leader."""
         visit = self._visits.get(machine)
         if visit is None or self.leader is None:
-            return False  # after a restart of all controllers no leader has been lost
+            return False  # when all controllers have just restarted, no leader has been lost
         avoid_s = self.many_avoid_s if len(self._visits) > FEW_WORKERS else self.few_avoid_s
         return now - visit.first_at <= avoid_s
 
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -13,7 +13,7 @@
 
 
 class Machine(msgspec.Struct):
-    """A machine with its tasks' resources and what its heartbeats have shown. Times are monotonic, in seconds."""
+    """A machine with its tasks' resources and what is known from its heartbeats. Times are monotonic, in seconds."""
 
     name: str
     type: MachineType
@@ -33,16 +33,16 @@
     acknowledged_term: bool = False
     """A heartbeat carried this term's fencing token, which only an answer can have delivered."""
     on_probation: bool = False
-    """One heartbeat has arrived after missed ones, and none since."""
+    """One heartbeat has arrived after missed ones, and no other since."""
     in_correlated_outage: bool = False
-    """Became unresponsive together with many others; stays marked when some of them are back before it."""
+    """Became unresponsive together with many others; stays set when others send heartbeats again before it."""
     unacknowledged_answers: int = 0
     """Answers in a row that had no effect on the next heartbeat."""
     last_unacknowledged_at: float = 0.0
 
     # -- life cycle
     reclaim_at: float | None = None
-    """When the cloud takes a preempted spot instance, by its notice."""
+    """When the cloud reclaims the spot instance, by its notice; None without a notice."""
     deleting: bool = False
     quarantined_until: float = 0.0
     idle_since: float | None = None
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -6,8 +6,10 @@
 
 # Two controllers' clocks may differ by 0.05 % each way; leases are waited out with this factor.
 CLOCK_DRIFT_FACTOR = 1.002
-# Slow machines take several times the usual boot time; after this many times a machine is given up.
+# Slow machines take several times the usual boot time; a machine that takes longer than this counts as failed.
 BOOT_TIMEOUT_FACTOR = 3.0
+# For this many leases a new leader doesn't conclude from a machine's age that its boot has failed.
+BOOT_TIMEOUT_GRACE_LEASES = 2
 # Heartbeats arrive at up to 1.25 times their interval, and an answer may wait for another quarter; beyond that one
 # is missing.
 HEARTBEAT_OVERDUE_INTERVALS = 1.75
@@ -29,8 +31,8 @@
         heartbeat_interval_s: the interval at which workers send heartbeats.
         lease_s: a worker stops its tasks this long after the last answer it received.
         lease_ratio: the part of a lease without heartbeats after which a worker counts as unresponsive.
-        observing_since: from when on missing heartbeats prove anything. Moves on when this process stood still,
-            as nothing could be received in that time.
+        observing_since: the time (monotonic) from which missing heartbeats count. Advanced when this process was
+            suspended, as it could receive nothing in that time.
 
     Attributes:
         unresponsive_after_s: the time without a heartbeat after which a worker counts as unresponsive.
@@ -51,7 +53,7 @@
     def is_unresponsive(self, machine: Machine, now: float) -> bool:
         """Whether a machine has missed its heartbeats for too long.
 
-        One that has not found this leader yet may still wait for an answer of the last one.
+        A worker that has not found this leader yet may still wait for an answer of the last one.
         """
         return now - self.last_seen_at(machine) > self.unresponsive_after_s
 
@@ -80,18 +82,22 @@
     def boot_timed_out(self, machine: Machine, now: float) -> bool:
         """Whether a machine should have sent its first heartbeat by now.
 
-        A new leader hears of old machines from the cloud's list before their workers have found it:
-        their age says nothing until it has led for a while.
+        A new leader learns of older machines from the cloud's list before their workers have found it:
+        their age proves nothing until it has led for a while.
         """
-        if machine.heartbeat_received or machine.deleting or now - self.observing_since < 2 * self.lease_s:
+        if (
+            machine.heartbeat_received
+            or machine.deleting
+            or now - self.observing_since < BOOT_TIMEOUT_GRACE_LEASES * self.lease_s
+        ):
             return False
         return now - machine.requested_at > BOOT_TIMEOUT_FACTOR * machine.type.boot_s + self.lease_s
 
     def is_unreachable_inbound(self, machine: Machine, now: float) -> bool:
         """Whether heartbeats arrive while no answer gets through: the inbound direction is broken.
 
-        Such a machine looks healthy by its heartbeats alone, and so does a late copy of a heartbeat from a lost
-        one. Nothing is placed before a heartbeat carries this term's fencing token, which only an answer can
+        By its heartbeats alone such a machine looks healthy, and so does a lost one of which a delayed heartbeat
+        arrives. Nothing is placed before a heartbeat carries this term's fencing token, which only an answer can
         have delivered.
         """
         if not machine.heartbeat_received or machine.deleting:
--- a/src/passrock/core/machine_holds.py
+++ b/src/passrock/core/machine_holds.py
@@ -1,4 +1,4 @@
-"""Machine holds: machines reserved for one waiting job."""
+"""Machine holds: machines kept for one waiting job."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class MachineHold(msgspec.Struct, frozen=True):
     """A machine that takes no tasks but those of one job.
 
-    Either tasks were preempted there for the job and are on their way out, or the job has waited too long
-    and would never find all its machines free at one time.
+    Either tasks are being preempted there for the job, or the job has waited too long and would never find
+    all its machines free at the same time.
     """
 
     job_id: str
@@ -20,7 +20,7 @@
 
 
 class MachineHolds:
-    """The holds by machine; each ends by itself unless it is renewed."""
+    """The holds by machine; each expires unless it is renewed."""
 
     def __init__(self) -> None:
         self.by_machine: dict[str, MachineHold] = {}
--- a/src/passrock/core/messages.py
+++ b/src/passrock/core/messages.py
@@ -1,4 +1,4 @@
-"""What workers report and are commanded, and what the cloud lists: typed, independent of names on the wire."""
+"""Workers' heartbeats, commands to workers and the cloud's list of machines, independent of names on the wire."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TaskState(Enum):
-    """Where a task is in its life, as its worker reports it."""
+    """The state of a task in its life cycle, as its worker reports it."""
 
     FETCHING = auto()  # its image
     WAITING = auto()  # for the other tasks of its gang
@@ -18,7 +18,7 @@
 
 
 class ExitReason(StrEnum):
-    """Why a task exited; the values stand in log events."""
+    """Why a task exited; the values appear in log events."""
 
     UNSPECIFIED = ""  # not exited, or for a reason that this version doesn't know
     COMPLETED = "completed"
@@ -50,7 +50,7 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task in a worker's heartbeat; ``saved`` tells whether an exited one has left a checkpoint."""
+    """One task in a worker's heartbeat; ``saved`` says whether an exited one has left a checkpoint."""
 
     job: str
     index: int
@@ -65,9 +65,9 @@
 
     Attributes:
         incarnation: grows each time the worker's lease expires; a later one knows no task of an earlier one.
-        sequence: grows with every heartbeat, so that late copies are told apart.
-        token: the fencing token (term) of the leader whose answer the worker had last.
-        notice: seconds until the cloud takes the machine back, if it has said so.
+        sequence: grows with every heartbeat, so that delayed copies are recognised.
+        token: the fencing token (term) of the leader whose answer the worker received last.
+        notice: seconds until the cloud reclaims the machine; None without such a notice.
     """
 
     machine: str
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -7,14 +7,22 @@
 from passrock.core.job import Job
 from passrock.core.model import JobSpec, MachineType
 
-# Times the provisioning time of a machine: with no more than this left, a job can't wait for a spot machine.
+# Times the provisioning time of a machine: with no more than this left, a job can't wait for a spot instance.
 PROVISIONING_MARGIN = 1.5
 # Times the owner's estimate of the run time, which is often too low, where a job has to end in time.
 ESTIMATE_MARGIN = 1.3
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """An objective on starting or finishing that the platform hands over."""
+    """A service-level objective of the platform.
+
+    Attributes:
+        kind: "wait" for starting, "finished" for finishing, "guarantee" for starting within a team's guarantee;
+            others don't affect scheduling.
+        job_class: the class of jobs that it applies to; unused for "guarantee".
+        within_s: seconds from the submission.
+        share: the part of the jobs that has to meet it.
+    """
 
     kind: str
     job_class: str
@@ -26,7 +34,7 @@
     """The objectives by job class.
 
     Args:
-        objectives: what the platform hands over.
+        objectives: those of the platform.
         starvation_threshold_s: the wait after which a job counts as starving.
     """
 
@@ -34,12 +42,14 @@
         self.starvation_threshold_s = starvation_threshold_s
         self._start_limits: dict[str, list[float]] = {}
         self._finish_limits: dict[str, list[float]] = {}
-        self._guarantee_limits = sorted(one.within_s for one in objectives if one.kind == "guarantee")
-        for one in objectives:
-            if one.kind == "wait":
-                self._start_limits.setdefault(one.job_class, []).append(one.within_s)
-            elif one.kind == "finished":
-                self._finish_limits.setdefault(one.job_class, []).append(one.within_s)
+        self._guarantee_limits = sorted(
+            objective.within_s for objective in objectives if objective.kind == "guarantee"
+        )
+        for objective in objectives:
+            if objective.kind == "wait":
+                self._start_limits.setdefault(objective.job_class, []).append(objective.within_s)
+            elif objective.kind == "finished":
+                self._finish_limits.setdefault(objective.job_class, []).append(objective.within_s)
         for limits in (*self._start_limits.values(), *self._finish_limits.values()):
             limits.sort()
         self._guaranteed_start_limits = {
@@ -52,7 +62,7 @@
         """The time by which the job has to be placed for the next objective that it can still meet.
 
         A job that has missed an objective no longer competes for it with those that can still meet it. The
-        image fetch counts: an objective that it would miss is taken for missed.
+        image fetch counts: an objective that the job can't meet because of it counts as missed.
 
         Args:
             job: the waiting job.
@@ -85,7 +95,7 @@
         """Whether the job has to start so soon that it can't wait for a spot instance of this type.
 
         A starving job can't either: one without any objective left would wait for ever where no spot
-        instance can be had.
+        instance is available.
         """
         if self.is_starving(job, now):
             return True
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -15,7 +15,7 @@
 
 
 class Preemption:
-    """Selects victims for jobs that the last scheduling pass left waiting, in the state which that pass left."""
+    """Selects victims for jobs that the last scheduling pass left waiting, using the state that this pass left."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
@@ -32,13 +32,13 @@
         """Choose the attempts to stop so that the job's waiting tasks fit, and hold their machines for it.
 
         Production preempts at once. Other work preempts only when that lets the job meet an objective that
-        waiting would miss: under overload, preempting early and for objectives that were lost already made
+        waiting would miss: under overload, preempting early and for objectives that could not be met any more made
         most machines fetch images instead of running tasks.
 
         Args:
             job: a waiting job.
             now: monotonic time.
-            elastic_only: whether the job has just come, so that it may have elastic work revoked only.
+            elastic_only: whether only elastic work may be stopped for the job, as it has just been submitted.
 
         Returns:
             The attempts to stop; none when stopping work would not serve the job now.
@@ -66,9 +66,9 @@
     def _revoke_elastic(self, job: Job, now: float) -> list[TaskAttempt]:
         """Elastic tasks whose end lets a guaranteed gang start; empty when they are not enough.
 
-        What was lent for idle time is revoked at once. It used to be preempted as late as other work, when
-        waiting longer would have missed an objective, and not at all in its first seconds: gangs waited for
-        a minute beside machines full of it.
+        Capacity that was lent while idle is revoked at once. Elastic tasks used to be preempted as late as others,
+        when waiting longer would have missed an objective, and not at all in their first seconds: gangs waited for
+        a minute although machines were full of elastic tasks.
         """
         if job.spec.kind is not JobKind.GANG or not self.queue.is_guaranteed(job):
             return []
@@ -81,13 +81,13 @@
         """A plan that lets the job meet its next objective, when waiting longer would miss it."""
         latest_start = self.objectives.latest_start(job, now, guaranteed=self.queue.is_guaranteed(job))
         if latest_start is None or not 0 <= latest_start - now <= self._planning_horizon(job):
-            return PreemptionPlan()  # a plan, which takes long to make, would be dropped below
+            return PreemptionPlan()  # a plan, which is expensive to make, would be discarded below
         plan = self.planner.plan(job, now)
         seconds_left = latest_start - now - self._stop_duration(plan)
         if plan.image_fetch_s(job.spec) > seconds_left:
             plan = self.planner.plan(job, now, max_image_fetch_s=seconds_left)
         if plan.image_fetch_s(job.spec) + self.inventory.health.lease_s < seconds_left:
-            return PreemptionPlan()  # capacity may still come free by itself
+            return PreemptionPlan()  # capacity may still become free by itself
         return plan
 
     def _planning_horizon(self, job: Job) -> float:
@@ -105,8 +105,8 @@
     def _hold_and_collect(self, job: Job, plan: PreemptionPlan, now: float) -> list[TaskAttempt]:
         """Hold a plan's machines for the job; the attempts to stop there, gangs as a whole.
 
-        The hold outlasts the victims' saving: a shorter one let others take the capacity, and the job began
-        to fetch elsewhere after having waited in vain.
+        The hold outlasts the victims' saving: after a shorter one others used the capacity, and the job, having
+        waited in vain, began to fetch its image elsewhere.
         """
         until = now + self._stop_duration(plan) + HOLD_MARGIN_STOP_LATENCIES * self.stop_latency_s
         victims: dict[tuple[str, int], TaskAttempt] = {}
--- a/src/passrock/core/preemption_policy.py
+++ b/src/passrock/core/preemption_policy.py
@@ -6,7 +6,7 @@
 from passrock.core.model import ZERO_RESOURCES, Priority
 from passrock.core.scheduler import Scheduler
 
-START_COUNTS_AFTER_S = 30.0  # a start counts for its user once the task was left to run for this long
+START_COUNTS_AFTER_S = 30.0  # a start counts as one for the user once the task has run for this long
 
 
 class PreemptionPolicy:
@@ -22,7 +22,7 @@
         return job.spec.priority >= Priority.HIGH or self.queue.is_guaranteed(job)
 
     def may_preempt(self, job: Job, victim: TaskAttempt, now: float) -> bool:
-        """Whether the job may preempt the task: by higher priority, or as the task is beyond another guarantee."""
+        """Whether the job may preempt the task: by higher priority, or as guaranteed job of another team."""
         other = victim.job
         if other.spec.id in self.scheduler.overrides.protected_from_preemption:
             return False
@@ -37,7 +37,7 @@
         return beyond_guarantee and other.spec.team != job.spec.team
 
     def is_elastic(self, job: Job) -> bool:
-        """Whether a job uses what others leave: low-priority work of a team without a guarantee (RAS §3.4)."""
+        """Whether a job only uses idle capacity: low-priority work of a team without a guarantee (RAS §3.4)."""
         team = self.scheduler.teams.get(job.spec.team)
         return team is not None and not team.has_guarantee and job.spec.priority is Priority.LOW
 
@@ -55,8 +55,8 @@
     def _start_counts(self, victim: TaskAttempt, now: float) -> bool:
         """Whether a task, or its whole gang, has run long enough for its start to count.
 
-        Stopping a job that is still fetching, or has just begun, gave one job its start by taking those of
-        several others; the images they had fetched were fetched again for the freed capacity.
+        Stopping jobs that were still fetching, or had just begun, let one job start at the cost of the starts of
+        several others; the images that these had fetched were then fetched again elsewhere.
         """
         return all(
             attempt.running_since is not None and now - attempt.running_since > START_COUNTS_AFTER_S
--- a/src/passrock/core/quota.py
+++ b/src/passrock/core/quota.py
@@ -1,4 +1,4 @@
-"""Team quotas: what each team uses and demands, against its limit."""
+"""Team quotas: what each team uses and demands, compared with its quota."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self._orphan_usage: dict[str, Resources] = {}
 
     def count_orphans(self) -> None:
-        """Take the orphans as the machines report them now, for the pass that begins."""
+        """Count the orphans of the latest heartbeats, for the pass that begins."""
         self._orphans = set()
         self._orphan_usage = {}
         for machine in self.inventory.machines.values():
@@ -39,10 +39,10 @@
         return any(job_id == job.spec.id for job_id, _ in self._orphans)
 
     def allows(self, job: Job, count: int) -> bool:
-        """Whether the team's limit allows ``count`` more tasks of the job."""
+        """Whether the team's quota allows ``count`` more tasks of the job."""
         team = self.teams.get(job.spec.team)
         if team is None:
-            return False  # its limit isn't known since the team was taken out of the settings; the job stays known
+            return False  # removed from the settings, so that its quota is unknown; its jobs remain
         used = self.job_table.usage.get(team.name, ZERO_RESOURCES) + self._orphan_usage.get(team.name, ZERO_RESOURCES)
         return team.within_quota(used + job.spec.resources.scaled(count))
 
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -14,7 +14,7 @@
 
 
 class TaskExit(msgspec.Struct, frozen=True):
-    """The exit of a recorded attempt; ``saved`` tells whether it has left a checkpoint."""
+    """The exit of a recorded attempt; ``saved`` says whether it has left a checkpoint."""
 
     attempt: TaskAttempt
     reason: ExitReason
@@ -27,8 +27,8 @@
     Attributes:
         commands: for the worker.
         changed: whether the heartbeat changed anything that matters to scheduling.
-        exits: attempts that the heartbeat shows exited.
-        started: attempts that are shown to run for the first time in this term.
+        exits: attempts that the heartbeat lists as exited.
+        started: attempts that are listed as running for the first time in this term.
     """
 
     commands: list[Command] = msgspec.field(default_factory=list)
@@ -44,7 +44,7 @@
     heartbeat: WorkerHeartbeat
     now: float
     may_launch: bool
-    is_current_term: bool  # the worker has had an answer of this leader
+    is_current_term: bool  # the worker has received an answer of this leader
 
 
 class Reconciler:
@@ -58,7 +58,7 @@
     def handle(
         self, machine: Machine, heartbeat: WorkerHeartbeat, now: float, *, may_launch: bool
     ) -> ReconciliationResult:
-        """Reconcile a heartbeat that the inventory has just taken in."""
+        """Reconcile a heartbeat that the inventory has just recorded."""
         result = ReconciliationResult()
         evidence = _Evidence(machine, heartbeat, now, may_launch, heartbeat.token == self.term)
         recorded = self.job_table.attempts_by_machine.get(machine.name, {})  # shrinks as attempts end
@@ -164,8 +164,8 @@
     def _reconcile_absent(self, attempt: TaskAttempt, evidence: _Evidence, result: ReconciliationResult) -> bool:
         """Launch or lose a recorded attempt that the heartbeat doesn't list.
 
-        Only a heartbeat that carries this leader's own term proves absence: an older one may have been
-        held up on its way while a former leader still launched on the machine.
+        Only a heartbeat that carries this leader's own term proves absence: one of an older term may have been
+        delayed while a former leader still launched tasks on the machine.
 
         Returns:
             Whether an earlier answer carried the launch, and this heartbeat proves that it had no effect.
@@ -193,10 +193,10 @@
     def _handle_exit(
         self, attempt: TaskAttempt | None, task: TaskStatus, evidence: _Evidence, result: ReconciliationResult
     ) -> None:
-        """An exited task; ``attempt`` is None unless this is the recorded attempt."""
+        """Handle an exited task; ``attempt`` is None unless this is the recorded attempt."""
         if attempt is not None:
-            # A heartbeat of an older term may have been held up while its attempt was started again, as a gang's
-            # task is that gave up waiting; only completion is final whenever it is heard of.
+            # A heartbeat of an older term may have been delayed while the attempt was restarted, as is done with a
+            # gang's task that gave up waiting; only completion is final no matter when its heartbeat arrives.
             if not evidence.is_current_term and task.exit_reason is not ExitReason.COMPLETED:
                 return
             if evidence.may_launch and _may_wait_on(attempt, task):
@@ -228,7 +228,7 @@
 
 
 def _is_unwanted(attempt: TaskAttempt, machine: Machine) -> bool:
-    """Whether the attempt must not be launched: its job is cancelled, or its machine is about to go."""
+    """Whether the attempt must not be launched: its job is cancelled, or its machine will be reclaimed or deleted."""
     return attempt.job.cancelled or machine.reclaim_at is not None or machine.deleting
 
 
@@ -242,10 +242,10 @@
 
 
 def _may_wait_on(attempt: TaskAttempt, task: TaskStatus) -> bool:
-    """Whether a gang task that gave up waiting may start again where it is, for the others still fetch their image.
+    """Whether a gang task that gave up waiting may start again on its machine, as others are still fetching.
 
-    Members of a gang need very different times for large images. Giving the whole gang up each time the first ones
-    gave up waiting made it fetch and wait over and over.
+    Members of a gang need very different times for large images. When a gang was stopped each time the first
+    members gave up waiting, it fetched and waited over and over.
     """
     if (
         task.exit_reason is not ExitReason.GANG_INCOMPLETE
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -13,8 +13,9 @@
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 
 ATTEMPT_BYTES = 44  # a recorded attempt at its longest, as JSON
-DESCRIPTION_BYTES = 1200  # kept free in a job's own record for its specification
-SPEC_BYTES = DESCRIPTION_BYTES - 100  # of these, the most that the specification itself may take
+DESCRIPTION_BYTES = 1200  # kept free in a job's own record for all but its attempts
+OTHER_FIELDS_BYTES = 100  # of these, for all but the specification
+SPEC_BYTES = DESCRIPTION_BYTES - OTHER_FIELDS_BYTES  # the most that the specification may take
 LEAST_TASKS_PER_PAGE = 8
 DONE = "done"
 CANCELLED = "cancelled"
@@ -30,9 +31,10 @@
 class AdmissionToken(msgspec.Struct, frozen=True):
     """What a submission's transaction depends on, and the grant that the job's first record names.
 
-    ``grant_reference`` is the slot and the incarnation of the controller whose grant was consumed.
-
-    A job is accepted only while the record under ``key`` has this revision.
+    Attributes:
+        key: of the record in the key-value store that the transaction compares.
+        mod_revision: a job is accepted only while that record has this revision.
+        grant_reference: the slot and the incarnation of the controller whose grant was consumed.
     """
 
     key: str
@@ -257,13 +259,13 @@
 
 
 def total_tasks(value: dict[str, Any]) -> int:
-    """How many tasks a stored job has in all, read for the same reason without decoding it."""
+    """The total number of tasks of a stored job; like ``count_tasks``, without decoding the record."""
     tasks: int = value["s"]["n"]
     return tasks
 
 
 def tasks_per_page(value_bytes: int) -> int:
-    """How many tasks one record of at most ``value_bytes`` holds beside the job's own specification."""
+    """How many tasks one record of at most ``value_bytes`` holds besides the job's own specification."""
     return max(LEAST_TASKS_PER_PAGE, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
 
 
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -62,7 +62,7 @@
 
     @property
     def truncated(self) -> bool:
-        """Whether the last pass left tasks that it would have placed, so that another should follow at once."""
+        """Whether the last pass left tasks that it would have placed, so that another pass should follow at once."""
         return self._tasks.truncated
 
     def run(self, now: float) -> list[TaskAttempt]:
@@ -91,7 +91,7 @@
         if job.spec.kind is JobKind.GANG:
             return self._gangs.place(job, now)
         if self.queue.is_prioritized(job):
-            # one start is what its class lacks: the rest of the job waits for its turn
+            # its class lacks a single start: the rest of the job waits for its turn
             self._starvation_holds.renew(job, now)
             return self._tasks.place(job, now, max_tasks=1)
         return self._tasks.place(job, now, max_tasks=MAX_TASKS_PER_PASS)
--- a/src/passrock/core/task_exits.py
+++ b/src/passrock/core/task_exits.py
@@ -1,4 +1,4 @@
-"""What a task's exit leads to: completion, or a retry that spares what seems faulty, the machine or the job."""
+"""Consequences of a task's exit: completion, or a retry that takes account of a faulty machine or job."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     inventory: MachineInventory,
     now: float,
 ) -> None:
-    """Enter the exit of a recorded attempt; unless it has completed, its task waits again."""
+    """Record the exit of an attempt; unless it has completed, its task waits again."""
     job = attempt.job
     retry_refused_at = now + inventory.health.heartbeat_interval_s * REFUSAL_BACKOFF_HEARTBEATS
     match reason:
@@ -41,9 +41,9 @@
 
 
 def _record_failure(job: Job, machine: Machine, inventory: MachineInventory, now: float) -> None:
-    """A task failed: mostly the machine is at fault, but a job may fail wherever it is started.
+    """Record a task's failure: usually the machine is at fault, but some jobs fail on any machine.
 
-    A suspect job doesn't block machines: one faulty array once blocked every machine that it tried.
+    A suspect job doesn't quarantine machines: a faulty array once had every machine quarantined that it tried.
     """
     if not job.is_suspect:
         machine.quarantined_until = max(machine.quarantined_until, now + inventory.health.lease_s)
--- a/src/passrock/core/token_bucket.py
+++ b/src/passrock/core/token_bucket.py
@@ -5,7 +5,7 @@
 from threading import Lock
 
 LEADER_SHARE = 0.6  # of the key-value store's rates
-REJECTION_DEBT_S = 0.25  # a rejection by the service costs the tokens of so many seconds
+REJECTION_DEBT_S = 0.25  # a rejection by the service costs the tokens of this many seconds
 
 
 def rate_share(*, leading: bool, nodes: int) -> float:
@@ -16,9 +16,9 @@
 
 
 class TokenBucket:
-    """A token bucket whose tokens can be reserved ahead: the caller is told how long to wait for them.
+    """A token bucket whose tokens can be reserved ahead: ``reserve`` returns how long to wait for them.
 
-    ``rate`` is in tokens a second and ``burst`` the most that accumulate; both may be changed at any time.
+    ``rate`` is in tokens per second and ``burst`` the most that accumulate; both may be changed at any time.
     All times are monotonic, in seconds. Safe to use from several threads.
     """
 
@@ -43,13 +43,13 @@
             return max(0.0, (1.0 + keep - self._tokens) / self.rate)
 
     def available(self, now: float) -> float:
-        """How many tokens are available at once; below 0 when callers wait already."""
+        """How many tokens are available at once; below 0 when callers are already waiting."""
         with self._lock:
             self._refill(now)
             return self._tokens
 
     def available_fraction(self, now: float) -> float:
-        """How much of a full burst is available, from 0 (or below) to 1."""
+        """The available part of a full burst, at most 1; below 0 when callers are already waiting."""
         with self._lock:
             self._refill(now)
             return self._tokens / self.burst
--- a/src/passrock/core/zone_constraint.py
+++ b/src/passrock/core/zone_constraint.py
@@ -20,12 +20,12 @@
         return cls(job.spec, job.zone_counts(inventory) if job.spec.single_zone or job.spec.spread_zones else {})
 
     def copy(self) -> ZoneConstraint:
-        """A constraint of its own for a trial."""
+        """A copy on which a placement can be tried."""
         return ZoneConstraint(self.spec, dict(self.counts))
 
     @property
     def has_unknown_zone(self) -> bool:
-        """Whether a task is somewhere that is not known yet."""
+        """Whether a task is on a machine whose zone is not known yet."""
         return UNKNOWN_ZONE in self.counts
 
     @property
