--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -330,3 +330,30 @@
     text = (ROOT / "deploy" / "admission.hcl").read_text()
     assert set(re.findall(r"^ +(\w+) *=", text, re.MULTILINE)) == set(AdmissionSettings.__struct_fields__)
     assert parse_admission({}, "", []) == AdmissionSettings()
+
+
+def test_the_example_file_of_the_readme_is_read_without_a_fault_and_has_every_setting(capsys):
+    example = ROOT / "docs" / "node.example.toml"
+    assert "(docs/node.example.toml)" in (ROOT / "README.md").read_text()
+    assert main(["check-config", str(example)]) == 0
+    assert capsys.readouterr().err == ""  # no warnings either
+    assert set(PLATFORM) <= paths_of(tomllib.loads(example.read_text()))
+    settings = read_settings(example)
+    assert settings.nodes == 3
+    addresses = [settings.client_listen, settings.peer_listen, *(peer.address for peer in settings.peers)]
+    assert {address.host for address in addresses} == {"127.0.0.1"}
+    assert len(set(addresses)) == len(addresses)
+
+
+def paths_of(table, prefix=""):
+    """The paths of all keys of nested tables, in the page's notation."""
+    paths = set()
+    for key, value in table.items():
+        if isinstance(value, dict):
+            paths |= paths_of(value, f"{prefix}{key}.")
+        elif isinstance(value, list) and value and isinstance(value[0], dict):
+            for row in value:
+                paths |= paths_of(row, f"{prefix}{key}[].")
+        else:
+            paths.add(prefix + key)
+    return paths
