--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -117,9 +117,9 @@
         """A token for the submission or a refusal; None where nobody decides slots."""
         return self.admitter.decide(spec) if self._in_force() else None
 
-    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+    def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
         """A request with an admission token is over."""
-        self.admitter.request_finished(spec, unused)
+        self.admitter.request_finished(spec, unused=unused)
 
     def _in_force(self) -> bool:
         """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
--- a/src/passrock/admission/controller/submission_admitter.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -71,7 +71,7 @@
         self._in_progress[spec.id] = PendingAdmission(admission_token, consumed, 1)
         return admission_token
 
-    def request_finished(self, spec: JobSpec, unused: bool) -> None:
+    def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
         """A request with an admission token is over; ``unused`` when it is certain that it accepted nothing."""
         pending = self._in_progress.get(spec.id)
         if pending is None:
--- a/src/passrock/cli.py
+++ b/src/passrock/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: options and commands of an operator."""
 
 from __future__ import annotations
 
--- a/src/passrock/controller/admission_controller.py
+++ b/src/passrock/controller/admission_controller.py
@@ -22,5 +22,5 @@
     def decide(self, spec: JobSpec) -> AdmissionToken | Refusal | None:
         """A token for its transaction, a refusal, or None when it needs no token."""
 
-    def request_finished(self, spec: JobSpec, unused: bool) -> None:
-        """A request with a token is over; ``unused`` when it is certain that nothing was accepted by it."""
+    def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
+        """A request with a token has ended; ``unused`` when it is certain that nothing was accepted by it."""
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -39,7 +39,7 @@
 
 
 async def load_machine_types(settings: Settings, cloud: CloudClient, catalog: MachineCatalog, sockets: int) -> None:
-    """Ask the cloud until it tells its machine types: nothing can be decided without them."""
+    """Ask the cloud for its machine types until it answers: nothing can be decided without them."""
     while not catalog.types:
         try:
             catalog.types = await cloud.machine_types()
@@ -50,7 +50,7 @@
 
 
 def _check_socket_limit(settings: Settings, catalog: MachineCatalog, sockets: int) -> None:
-    """Say once in the log when the sockets are too few for the machines that the guarantees need."""
+    """Log once when the sockets are too few for the machines that the guarantees need."""
     largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
     guaranteed = sum(team.gpus for team in settings.teams.values())
     if largest > 0 and guaranteed / largest > sockets:
@@ -59,7 +59,7 @@
 
 
 async def probe_store(store: KeyValueStoreClient, interval_s: float) -> None:
-    """Know whether the key-value store answers, also when nobody asks for anything."""
+    """Probe the key-value store while no other request shows whether it answers."""
     while True:
         await asyncio.sleep(interval_s)
         if monotonic_time() - store.last_success_at > interval_s:
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import math
 from typing import Any
 
 import msgspec
@@ -11,6 +10,7 @@
 from passrock.controller import keys
 from passrock.controller.leadership import Leadership
 from passrock.core.image_hints import encode_image_hints
+from passrock.core.instants import NEVER
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
 from passrock.core.machine import Machine
@@ -28,6 +28,7 @@
 
 MIN_ROUND_GAP = 0.25  # of the round interval, between two rounds
 MIN_FREE_WRITES = 0.6  # of the write burst must be available before a round's records are written
+WRITE_POLL = 0.25  # of the heartbeat interval, between two looks at the free writes
 MAX_RECORD_FILL = 0.9  # of a record's largest size is filled with names of machines
 HINT_BYTES_PER_MACHINE = 160  # a machine with its images in a hint record, at its longest
 
@@ -76,12 +77,12 @@
         self.scheduler = scheduler
         self.assignments = scheduler.assignments  # the team of each machine, as the last round left it
         self._due = 0.0
-        self._last_round_at = -math.inf
+        self._last_round_at = NEVER
         self._stored: dict[str, Any] = {}
         self._writing: asyncio.Task[None] | None = None
 
     def load(self, reservation: Entry) -> None:
-        """Take in one record of an earlier leader."""
+        """Load one record of an earlier leader."""
         self._stored[reservation.key] = reservation.value
         self.assignments.update(dict.fromkeys(reservation.value["m"], keys.reservation_team(reservation.key)))
 
@@ -118,7 +119,7 @@
             **msgspec.structs.asdict(self._cluster_gpus()),
         )
         if changed:
-            self.stop()  # this round's records stand for those not yet written
+            self.stop()  # this round's records replace those not yet written
             self._writing = asyncio.create_task(self._write(changed))
 
     # -- the round ----------------------------------------------------------------------------------
@@ -137,7 +138,13 @@
     def _view(self, machine: Machine, unit: float) -> MachineView:
         attempts = self.job_table.attempts_by_machine.get(machine.name, {})
         teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
-        return MachineView(machine.name, machine.zone, machine.type.size.gpus / unit, not attempts, teams)
+        return MachineView(
+            name=machine.name,
+            zone=machine.zone,
+            size=machine.type.size.gpus / unit,
+            idle=not attempts,
+            teams=teams,
+        )
 
     def _request(self, team: Team, unit: float) -> ReservationRequest:
         """What a team's demand asks for within its quota, in units of the largest machine."""
@@ -151,7 +158,7 @@
         waiting = sum(
             job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
         )
-        sums = ClusterGpus(len(self.inventory.machines), waiting)
+        sums = ClusterGpus(machines=len(self.inventory.machines), waiting=waiting)
         for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_on(machine.name)
             used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
@@ -196,7 +203,7 @@
         pending = sorted(changed, key=lambda key: (key.startswith(keys.IMAGE_HINTS), key))
         while pending:
             while self.store.writes.available_fraction(monotonic_time()) < MIN_FREE_WRITES:
-                await asyncio.sleep(self.settings.report_s / 4)
+                await asyncio.sleep(self.settings.report_s * WRITE_POLL)
             count = self._records_per_commit()
             batch, pending = pending[:count], pending[count:]
             changes: list[Write] = [Put(key, changed[key]) for key in batch]
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -24,8 +24,8 @@
 RECORD_BYTES = 700  # a record beside its attempts
 TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
 SHORTEST_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
-SUBMISSION_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node,
-SUBMISSION_WRITES = 2.0  # and so many at the least
+SUBMISSION_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node
+MIN_SUBMISSION_WRITES = 2.0  # left for them at the least
 
 
 class CommitQueue:
@@ -88,19 +88,21 @@
         """
         budget = self.store.writes
         least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
-        reserve = min(max(SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
+        reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
-        while (left := budget.available(monotonic_time()) - reserve) < least:
+        while True:
+            left = budget.available(monotonic_time()) - reserve
+            if left >= least:
+                return min(self.txn_ops, int(left))
             now = monotonic_time()
             if now >= turn:
                 return self.txn_ops
             await asyncio.sleep(max(SHORTEST_SLEEP_S, min((least - left) / budget.rate, turn - now)))
-        return min(self.txn_ops, int(left))
 
     def build(self, limit: int) -> RecordTransaction:
         """The next transaction of up to ``limit`` writes, inside the limit on its size.
 
-        Jobs that are over go first; orphaned records are deleted when nothing more urgent is left.
+        Jobs that have ended go first; orphaned records are deleted when nothing more urgent is left.
         """
         transaction = RecordTransaction({keys.LEADER: self.leader_revision})
         self._add_finalizations(transaction, limit)
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -95,7 +95,7 @@
         self._notice_own_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.delete_with_cancelled_tasks(now)  # the time for these runs on through an outage
+                self.failure_detector.delete_with_cancelled_tasks(now)  # cancel_s runs on through an outage
             return
         self.fence.check()
         planning = now >= self._plan_due
@@ -112,7 +112,7 @@
         self.evaluations.note_finished()
 
     def _notice_own_pause(self, now: float) -> None:
-        """If this process stood still, missing heartbeats in that time prove nothing."""
+        """If this process was paused, heartbeats missed in that time prove nothing."""
         if now - self._last_evaluation > self.settings.report_s:
             self.inventory.health.observing_since = now
         self._last_evaluation = now
@@ -133,7 +133,7 @@
             self.evaluations.request()
 
     def _preempt(self, queue: list[Job], now: float) -> None:
-        """Stop work for the waiting jobs whose standing allows it."""
+        """Stop tasks of lower rank for the waiting jobs that may preempt them."""
         for job in queue:
             if not self.preemption.policy.can_preempt(job):
                 continue
--- a/src/passrock/controller/evaluations.py
+++ b/src/passrock/controller/evaluations.py
@@ -1,4 +1,4 @@
-"""Signals between the evaluation loop and its surroundings: requests for an evaluation, and news of its progress."""
+"""Signals between the evaluation loop and its surroundings: requests for an evaluation, and its progress."""
 
 from __future__ import annotations
 
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -24,10 +24,14 @@
 # An outage of more than an eighth of the cluster, and of more than four machines, is taken to have one cause.
 CORRELATED_OUTAGE_DIVISOR = 8
 CORRELATED_OUTAGE_MIN_MACHINES = 4
+# Added to twice the majority, so that two failures in a small cluster are no majority.
+SMALL_CLUSTER_ALLOWANCE = 2
 # Part of the lease for which machines with replicas are waited for in such an outage: by then it has all but ended.
 REPLICA_OUTAGE_LEASE_RATIO = 0.9
 # Part of cancel_s after which an unresponsive machine with tasks of a cancelled job is deleted.
 CANCELLED_TASK_RATIO = 0.5
+# Heartbeat intervals without an answer of a peer after which workers may be waiting for that peer.
+PEER_UNRESPONSIVE_INTERVALS = 0.5
 # Until the cloud's list shows a machine that died as failed.
 FAILURE_LISTED_S = 30.0
 # Jobs whose tasks failed on one machine from which on the machine is at fault.
@@ -63,12 +67,12 @@
     @property
     def is_majority(self) -> bool:
         """Whether most machines are unresponsive: then none is deleted."""
-        return _is_majority(len(self.unresponsive), self.monitored)
+        return _is_most_of_cluster(len(self.unresponsive), self.monitored)
 
 
-def _is_majority(count: int, monitored: int) -> bool:
+def _is_most_of_cluster(count: int, monitored: int) -> bool:
     """More than half; a few more in a small cluster, where two machines may well fail at the same time."""
-    return count * 2 > monitored + 2
+    return count * 2 > monitored + SMALL_CLUSTER_ALLOWANCE
 
 
 class FailureDetector:
@@ -110,7 +114,7 @@
     def evaluate(self, now: float) -> None:
         """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
         self.delete_with_cancelled_tasks(now)
-        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s / 2)
+        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s * PEER_UNRESPONSIVE_INTERVALS)
         self.health.discovery_s = WORKER_REQUEST_TIMEOUT_S if peer_unresponsive else 0.0
         monitored = self._monitored()
         outage = self._assess_outage(monitored, now)
@@ -220,9 +224,9 @@
     # -- other failures -----------------------------------------------------------------------------
 
     def _delete_unreachable_inbound(self, monitored: list[Machine], now: float) -> None:
-        """Delete machines that no answer reaches, unless they are so many that the cause lies elsewhere."""
+        """Delete machines that no answer reaches, unless they are so many that the cause is elsewhere."""
         unreachable = [machine for machine in monitored if self.health.is_unreachable_inbound(machine, now)]
-        if _is_majority(len(unreachable), len(monitored)):
+        if _is_most_of_cluster(len(unreachable), len(monitored)):
             return
         for machine in unreachable:
             info(
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -5,7 +5,7 @@
 from passrock.controller.replica import Replica
 from passrock.core.machine_catalog import MachineCatalog
 from passrock.io.clock import monotonic_time
-from passrock.io.peers import PeerTable
+from passrock.io.peers import PeerTable, is_majority
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
@@ -45,4 +45,4 @@
         heartbeats = self.peers.heartbeats(now - PEER_ANSWER_AGE_S)
         if any(not heartbeat.store_down for heartbeat in heartbeats):
             return False
-        return (len(heartbeats) + 1) * 2 > self.settings.nodes
+        return is_majority(len(heartbeats) + 1, self.settings.nodes)
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -58,7 +58,8 @@
         now = monotonic_time()
         machine_type = self.catalog.types.get(heartbeat.type)
         if machine_type is None:
-            return None  # nothing is known of such a machine's tasks: no renewal that isn't noted
+            # nothing is known of such a machine's tasks, and every renewal must be recorded in the inventory
+            return None
         known = self.inventory.machines.get(heartbeat.machine)
         was_usable = known is not None and known.heartbeat_received and known.acknowledged_term
         machine = self.inventory.observe(heartbeat, machine_type, now)
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -1,4 +1,4 @@
-"""The state of one job as a user may be told of it: never older than the question."""
+"""Linearizable lookup of one job's state: an answer to a user is never older than the request."""
 
 from __future__ import annotations
 
@@ -22,17 +22,22 @@
 from passrock.io.clock import monotonic_time
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
+from passrock.wire.store import Entry
 
 FENCE_TRIES = 3
 DIRECT_READ_TIMEOUT_S = 0.8
 
+# The statuses of a job that has not ended; those of one that has are in its final record.
+QUEUED = "queued"
+RUNNING = "running"
+
 
 class UnavailableError(Exception):
-    """The state of a job can't be told now; the user comes again."""
+    """The state of a job can't be proved current now; the user is asked to retry."""
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """What a user may be told of a job; ``done`` and ``running`` count its tasks."""
+    """A job's status as users see it; ``done`` and ``running`` count its tasks."""
 
     status: str
     done: int = 0
@@ -96,28 +101,30 @@
                 counts = count_tasks(page.value)
                 done += counts.completed
                 running += counts.placed
-        return JobStatus("running" if running else "queued", done, running)
+        return JobStatus(RUNNING if running else QUEUED, done, running)
 
     async def _read_unfinished(self, job_id: str) -> JobStatus | None:
         """Read the store itself, since the replica lags: whether the job is cancelled has to be read as well."""
-        entry, _ = await self.store.get(keys.job(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        entry = await self._read(keys.job(job_id))
         if entry is None:
             return None
-        cancellation, _ = await self.store.get(keys.cancellation(job_id), timeout=DIRECT_READ_TIMEOUT_S)
-        if cancellation is not None:
+        if await self._read(keys.cancellation(job_id)) is not None:
             self.cancellations.learn(job_id, monotonic_time())
             return JobStatus(CANCELLED)
         # the job may have ended between the two reads, which deletes its cancellation
-        final, _ = await self.store.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
-        if final is not None:
+        if await self._read(keys.final(job_id)) is not None:
             return None
         counts = count_tasks(entry.value)
-        return JobStatus("queued", counts.completed, counts.placed)
+        return JobStatus(QUEUED, counts.completed, counts.placed)
 
     async def _read_final(self, job_id: str) -> JobStatus | None:
-        entry, _ = await self.store.get(keys.final(job_id), timeout=DIRECT_READ_TIMEOUT_S)
+        entry = await self._read(keys.final(job_id))
         if entry is None:
             return None
         final = decode_record(entry.value, FinalRecord)
         self.replica.note_final(job_id, final.status)
         return JobStatus(final.status, final.tasks if final.status == DONE else 0)
+
+    async def _read(self, key: str) -> Entry | None:
+        entry, _ = await self.store.get(key, timeout=DIRECT_READ_TIMEOUT_S)
+        return entry
--- a/src/passrock/controller/keys.py
+++ b/src/passrock/controller/keys.py
@@ -12,7 +12,7 @@
 ALLOCATION = "p/a/"
 LEADER = "p/lead"
 TERM = "p/term"
-PROBE = "p/none"
+PROBE = "p/none"  # never written: reading it gives the store's revision and shows that the store answers
 
 
 def job(job_id: str) -> str:
@@ -36,7 +36,7 @@
 
 
 def cancellation(job_id: str) -> str:
-    """The mark that a job's user was told it is cancelled."""
+    """The cancellation of a job, committed before it is confirmed to the user."""
     return CANCELLATION + job_id
 
 
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -172,22 +172,23 @@
         self.tasks = [asyncio.create_task(self._resign_on_failure(self._run()))]
 
     def stop(self) -> None:
-        """End it; nothing of the term acts any more."""
+        """End the term's work; nothing of the term acts any more."""
         for task in self.tasks:
             task.cancel()
         self.rounds.stop()
         self.replica.unsubscribe(self.state_events.on_change)
 
     def cancelled(self, job_id: str, at: float) -> None:
-        """A cancellation is committed; before the records are loaded, loading them takes it in."""
+        """A cancellation is committed; one from before the records are loaded is applied by loading them."""
         if self.ready:
             self.state_events.cancelled(job_id, at)
 
     def _machine_lost(self, name: str) -> None:
+        # looked up when called: the parts that call this are made before the event handlers
         self.state_events.machine_lost(name)
 
     async def _resign_on_failure(self, work: Awaitable[None]) -> None:
-        """A term that can't go on must not pretend to lead."""
+        """Step down when a part of the term fails: a leader whose work has ended must not go on holding the key."""
         try:
             await work
         except asyncio.CancelledError:
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -24,7 +24,8 @@
 RETRIES_PER_LEASE = 10  # after a request that failed
 JITTER_PER_LEASE = 40  # campaigns of several nodes begin apart by up to this part of the lease
 
-INCARNATION_MASK = (1 << 48) - 1
+INCARNATION_MASK = (1 << 48) - 1  # 48 bits
+RESIGN_WORKER_LEASES = 0.5  # worker leases for which a controller that has resigned does not campaign
 
 
 class Leadership:
@@ -46,6 +47,7 @@
         self.store = store
         self.replica = replica
         self.rng = rng
+        # from the generator's state, not drawn from it: a draw would shift all later ones that a seed replays
         self.incarnation = hash(rng.getstate()[1]) & INCARNATION_MASK
         self.lease_ttl_s = settings.leader_lease_s
         self.term = 0
@@ -70,14 +72,14 @@
     # -- terms ------------------------------------------------------------------------------------
 
     def observe_term(self, term: int) -> None:
-        """A term was seen anywhere: one higher than ours ends our leadership at once."""
+        """A term was seen anywhere: one higher than this node's own ends its leadership at once."""
         if term > self.known_term:
             self.known_term = term
         if self.leading and term > self.term:
             self.step_down("higher term")
 
     def on_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """A peer told the highest term that it knows."""
+        """Observe the highest term that a peer knows."""
         self.observe_term(heartbeat.term)
 
     def _on_change(self, key: str, entry: Entry | None) -> None:
@@ -88,7 +90,7 @@
     # -- the end of a leadership ------------------------------------------------------------------
 
     def step_down(self, reason: str) -> None:
-        """Lead no longer, if this node leads."""
+        """Give up the leadership, if this node leads; ``reason`` goes into the log."""
         if self.leading:
             info("leadership_lost", term=self.term, reason=reason)
             self.leading = False
@@ -101,7 +103,7 @@
         The lease is revoked so that another can campaign at once, and this node doesn't for a while.
         """
         self.step_down("workers reach other controllers only")
-        self._campaign_not_before = monotonic_time() + self.settings.lease_s / 2
+        self._campaign_not_before = monotonic_time() + self.settings.lease_s * RESIGN_WORKER_LEASES
         task = asyncio.create_task(self._revoke_lease(self._lease_id))
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
@@ -191,7 +193,8 @@
         self._lead(term, lease_id, result.revision, started)
 
     def _lead(self, term: int, lease_id: int, revision: int, started: float) -> None:
-        self._lease_id, self.leader_revision = lease_id, revision
+        self._lease_id = lease_id
+        self.leader_revision = revision
         self.term = self.known_term = term
         self.leading = True
         self.lease_deadline = self._deadline(started)
--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -1,4 +1,4 @@
-"""What this controller tells its peers about itself."""
+"""This controller's own heartbeat to its peers: role, term, its view of the store, and what it knows."""
 
 from __future__ import annotations
 
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -36,7 +36,7 @@
 STATE_CONNECTIONS = 12
 FINALS_MEMORY_SHARE = 0.03  # of the memory, for the final states of jobs that are kept to answer queries
 FINAL_BYTES = 200  # a final state in memory
-CANCELLATION_RETENTION = 4.0  # times cancel_s: by then every task of a cancelled job is long gone
+CANCELLATION_RETENTION = 4.0  # times cancel_s: by then every task of a cancelled job has long ended
 PEER_HEARTBEATS_PER_INTERVAL = 3  # in a worker's heartbeat interval
 
 
@@ -149,7 +149,7 @@
     def _on_cancellation(self, job_id: str) -> None:
         """A cancellation is committed: by this node itself, as a peer says, or as the replica shows.
 
-        The leader's job table takes it from here. Its replica may never show one that it committed itself,
+        It reaches the leader's job table this way. Its replica may never show one that it committed itself,
         when the store refuses it from that moment on.
         """
         if self.leader_term is not None:
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -22,7 +22,7 @@
 CLOUD_RATE_SHARE = 0.8  # the part of the cloud's rate that this controller uses
 IDLE_TIMEOUT_S = 60.0  # of a client's connection
 HEAD_TIMEOUT = 4.0  # heartbeat intervals in which a whole request has to arrive
-GC_THRESHOLDS = (20_000, 20, 50)  # rarer than by default
+GC_THRESHOLDS = (20_000, 20, 50)  # of the three generations: collections are rarer than by default
 
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -56,10 +56,10 @@
 
     Args:
         settings: the node's settings.
-        state: where intents are stored.
+        store: where intents are stored.
         cloud: the cloud's client.
-        catalog: gets the current machine types, and the offerings without capacity.
-        inventory: gets machines as they are provisioned or listed, and loses deleted ones.
+        catalog: is given the current machine types, and the offerings without capacity.
+        inventory: machines are added as they are provisioned or listed, and recorded as deleted.
         leadership: requests are sent only while this node leads.
         on_machine_lost: called with a machine's name when the cloud has confirmed its deletion.
         on_change: called when a request has ended or an unknown machine was listed.
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -1,4 +1,4 @@
-"""Linearizable reads from the replica: users' questions wait until it includes all that was committed before them."""
+"""Linearizable reads from the replica: queries wait until it includes all that was committed before them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from passrock.io.errors import StoreError
 from passrock.io.store import KeyValueStoreClient
 
-COMMIT_SHARE = 0.2  # of a second's requests, left for commits when users' questions are read for
+COMMIT_SHARE = 0.2  # of a second's requests, left for commits when reads serve users' queries
 READ_WAIT_S = 0.4  # a read waits no longer for the budget of requests: a user waits 2 s for an answer
 READ_TIMEOUT_S = 1.0
 CATCH_UP_TIMEOUT_S = 0.7  # for the watch to bring the revision that was read
@@ -20,7 +20,7 @@
     """Reads the key-value store's revision, once for everyone who asked before the read was sent.
 
     Args:
-        gap_s: the least time between two reads, during which questions gather for the next one.
+        gap_s: the least time between two reads, during which queries gather for the next one.
     """
 
     def __init__(self, store: KeyValueStoreClient, replica: Replica, gap_s: float) -> None:
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -1,4 +1,4 @@
-"""A new leader takes in the records that earlier ones left in the key-value store."""
+"""Loads the records of earlier terms into the tables of a new leader."""
 
 from __future__ import annotations
 
@@ -37,13 +37,10 @@
 def _load_jobs(replica: Replica, job_table: JobTable) -> None:
     """Load the jobs in the order of their submission."""
     now = monotonic_time()
-    jobs = [
-        (decode_record(entry.value, JobRecord), entry.key, entry.mod_revision)
-        for entry in replica.with_prefix(keys.JOB)
-    ]
-    jobs.sort(key=lambda job: (job[0].submitted_at, job[1]))
-    for record, _, mod_revision in jobs:
-        job_table.load(record, mod_revision, now, time_of_day())
+    jobs = [(decode_record(entry.value, JobRecord), entry) for entry in replica.with_prefix(keys.JOB)]
+    jobs.sort(key=lambda job: (job[0].submitted_at, job[1].key))
+    for record, entry in jobs:
+        job_table.load(record, entry.mod_revision, now, time_of_day())
 
 
 def _load_task_pages(replica: Replica, job_table: JobTable, commit_queue: CommitQueue) -> None:
@@ -59,7 +56,7 @@
 
 
 def _load_cancellations(replica: Replica, cancellations: CancellationLog, job_table: JobTable) -> None:
-    """Cancel the jobs that the replica shows cancelled; a peer may have told of some before the replica does."""
+    """Cancel the jobs that the replica shows cancelled; a peer may have reported some before the replica does."""
     for entry in replica.with_prefix(keys.CANCELLATION):
         job = job_table.jobs.get(entry.key[len(keys.CANCELLATION) :])
         if job is not None:
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -8,7 +8,7 @@
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import complete_until, renewal_horizon
 from passrock.io.clock import monotonic_time
-from passrock.io.peers import PeerTable
+from passrock.io.peers import PeerTable, is_majority
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
@@ -20,7 +20,7 @@
     """Decides for which worker heartbeats a lease may be renewed, and whether tasks may be launched.
 
     Renewing a lease keeps the tasks on the machine alive, so whoever does it must know the cancellations that
-    users were told of. ``renewal_horizon_s`` is how old, in seconds, one may be that is not known here.
+    were confirmed to users. ``renewal_horizon_s`` is how old, in seconds, one may be that is not known here.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
         return now - self._cancellations_complete_until(now) <= within_s
 
     def cancellations_staleness_s(self, now: float) -> float | None:
-        """How old, at most, a cancellation is that some user was told of and this controller doesn't know.
+        """How old, at most, a cancellation is that was confirmed to a user and is not known to this controller.
 
-        None when nothing is known about that.
+        None when no bound can be proved.
         """
         until = self._cancellations_complete_until(now)
         return max(0.0, now - until) if math.isfinite(until) else None
@@ -69,7 +69,7 @@
     def may_renew(self) -> bool:
         """Whether worker heartbeats may be answered: as leader, or as the last one during an outage.
 
-        Through an outage of the key-value store the leader key expires for everyone, and tasks must live.
+        Through an outage of the key-value store the leader key expires for everyone, and tasks must not end.
         So the last leader goes on renewing worker leases, without launching anything, while a
         majority of controllers also see the store down and know of no higher term.
 
@@ -96,7 +96,7 @@
             # a peer that hasn't read the store since its start has forgotten which terms it acknowledged
             if heartbeat.replica_loaded and heartbeat.store_down and heartbeat.term == term:
                 votes += 1
-        return votes * 2 > self.nodes
+        return is_majority(votes, self.nodes)
 
     def may_renew_leaderless(self, token: int) -> bool:
         """Whether a worker with this fencing token may be kept alive although nobody leads.
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -105,13 +105,14 @@
         entries: dict[str, Entry] = {}
         lowest: int | None = None
         for prefix in self.prefixes:
-            after, more = "", True
-            while more:
+            after = ""
+            while True:
                 rows, more, revision = await self.store.page(prefix, after)
                 lowest = revision if lowest is None else min(lowest, revision)
                 entries.update((row.key, row) for row in rows)
-                after = rows[-1].key if rows else ""
-                more = more and bool(rows)
+                if not more or not rows:
+                    break
+                after = rows[-1].key
         return entries, lowest or 0
 
     def mark_complete(self, started: float) -> None:
@@ -119,7 +120,7 @@
         self.complete_as_of = max(self.complete_as_of, started)
 
     def apply(self, changes: list[Change], revision: int) -> None:
-        """Apply changes in the order of a watch that has reached ``revision``, and tell the listeners of each."""
+        """Apply changes in the order of a watch that has reached ``revision``, and notify the listeners of each."""
         for change in changes:
             entry = Entry(change.key, change.value, change.mod_revision) if change.present else None
             if change.key.startswith(keys.FINAL):
--- a/src/passrock/controller/request_limits.py
+++ b/src/passrock/controller/request_limits.py
@@ -21,13 +21,13 @@
 
 
 def request_limiter(settings: Settings, slack_s: float) -> AdaptiveConcurrencyLimiter:
-    """A limiter for one kind of requests; ``slack_s`` is how far above the best time is no sign of a queue."""
+    """A limiter for one kind of requests; up to ``slack_s`` above the best latency is no sign of a queue."""
     maximum = max(MINIMUM_IN_PROGRESS * 2, settings.fd_limit // 2)
     return AdaptiveConcurrencyLimiter(INITIAL_IN_PROGRESS, MINIMUM_IN_PROGRESS, maximum, slack_s)
 
 
 def refuse(limiter: AdaptiveConcurrencyLimiter, status: int) -> Response:
-    """An answer at once, with a time to come back."""
+    """An immediate refusal, with the time after which to retry."""
     return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after())
 
 
@@ -40,7 +40,7 @@
 
 
 async def measured(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response:
-    """Carry out work that has entered the limiter, and tell the limiter how long it took."""
+    """Carry out work that has entered the limiter, and report its latency to the limiter."""
     started = monotonic_time()
     failed = True
     try:
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -1,4 +1,4 @@
-"""What becomes known while a term lasts: new jobs and cancellations from the state, lost machines from the cloud."""
+"""Events of a running term: new jobs and cancellations from the store, lost machines from the cloud."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StateEvents:
-    """Takes events into the leader's tables and wakes whoever acts on them."""
+    """Enters events in the leader's tables and wakes whoever acts on them."""
 
     def __init__(
         self,
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -35,7 +35,7 @@
         """Whether every request has given up waiting."""
         return all(future.done() for future in self.futures)
 
-    def answer(self, accepted: bool) -> None:
+    def answer(self, *, accepted: bool) -> None:
         """Answer every request: True when the job was accepted now, False when it was known already."""
         for future in self.futures:
             if not future.done():
@@ -63,15 +63,22 @@
         self.batch_limit = max(1, txn_ops - 1)
         self.queue: list[PendingSubmission] = []
         self.draining = False
+        self._drain_task: asyncio.Task[None] | None = None  # the event loop itself keeps no reference to a task
 
     async def submit(self, spec: JobSpec, admission_token: AdmissionToken | None = None) -> bool:
-        """True when accepted now, False when known already; raises StoreError otherwise."""
+        """Accept a job; returns True when it was accepted now, False when it was known already.
+
+        Raises:
+            AdmissionTokenExpiredError: what admitted it is no longer in force; nothing was accepted.
+            UnknownOutcomeError: it may have been accepted.
+            StoreError: nothing was accepted.
+        """
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.queue.append(PendingSubmission(spec, admission_token, [future]))
         if not self.draining:
             self.draining = True
-            task = asyncio.create_task(self._drain())
-            task.add_done_callback(_retrieve_exception)
+            self._drain_task = asyncio.create_task(self._drain())
+            self._drain_task.add_done_callback(_retrieve_exception)
         return await future
 
     async def _drain(self) -> None:
@@ -121,17 +128,17 @@
             return
         if isinstance(result, Committed):
             for pending in batch:
-                pending.answer(True)
+                pending.answer(accepted=True)
         else:
             self._answer_refused(batch, result)
 
     def _answer_refused(self, batch: list[PendingSubmission], result: TransactionConflict) -> None:
-        """A condition failed and nothing was written: answer those that it was, and queue the others again."""
+        """A condition failed and nothing was written: answer whose it was, and queue the others again."""
         failed = set(result.conflicting_keys)
         for pending in batch:
             job_id, admission_token = pending.spec.id, pending.admission_token
             if keys.job(job_id) in failed or keys.final(job_id) in failed:
-                pending.answer(False)
+                pending.answer(accepted=False)
             elif admission_token is not None and admission_token.key in failed:
                 pending.fail(AdmissionTokenExpiredError("the admission token has expired"))
             else:
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -7,7 +7,7 @@
 
 from passrock.controller import keys
 from passrock.controller.admission_controller import AdmissionController, Refusal
-from passrock.controller.job_lookup import JobLookup, UnavailableError
+from passrock.controller.job_lookup import QUEUED, JobLookup, UnavailableError
 from passrock.controller.read_fence import READ_WAIT_S
 from passrock.controller.replica import Replica
 from passrock.controller.request_limits import limited, measured, refuse, request_limiter
@@ -36,6 +36,7 @@
 SUBMIT_TIMEOUT_S = 3.5
 CANCEL_TRIES = 3
 WRITE_BACKLOG_LIMIT_S = 1.0  # of waiting for the write rate, above which submissions are refused
+LIMITER_SLACK_DIVISOR = 10  # a request that takes a tenth of the heartbeat interval above the best waited in no queue
 RETRY_LOOKUP_SPARE = 0.5  # of a burst of reads must be free before a refused submission is looked up
 
 
@@ -55,10 +56,10 @@
         self.settings = settings
         self.store = store
         self.replica = replica
-        self.cancellations = cancellations  # a cancelled job stands there before its user is told
+        self.cancellations = cancellations  # gets each cancellation before it is confirmed to the user
         self.catalog = catalog
         self.admission_controller = admission_controller
-        slack_s = settings.report_s / 10
+        slack_s = settings.report_s / LIMITER_SLACK_DIVISOR
         # the wait for a shared read is no sign of a queue
         self.read_limiter = request_limiter(settings, slack_s + READ_WAIT_S)
         # submissions and cancellations, which no number of reads may hold up
@@ -95,7 +96,7 @@
     # -- submissions ------------------------------------------------------------------------------
 
     def _admit(self, request: Request) -> Response | Awaitable[Response]:
-        """Judge a submission; what is wrong with it is told however busy the node is."""
+        """Check a submission and accept it; a faulty one gets its reason however busy the node is."""
         try:
             spec = wire.parse_submission(request.body)
         except MalformedBodyError as problem:
@@ -155,7 +156,7 @@
             async with asyncio.timeout(SUBMIT_TIMEOUT_S):
                 try:
                     if await self.submitter.submit(spec, admission_token):
-                        return Response(201, wire.brief_answer(spec.id, "queued"))
+                        return Response(201, wire.brief_answer(spec.id, QUEUED))
                     grant_unused = True
                 except UnknownOutcomeError:
                     pass  # it may have been accepted: read before answering
@@ -170,7 +171,7 @@
             return refuse(self.write_limiter, 503)
         finally:
             if admission_token is not None and self.admission_controller is not None:
-                self.admission_controller.request_finished(spec, grant_unused)
+                self.admission_controller.request_finished(spec, unused=grant_unused)
         if known is None:
             return refuse(self.write_limiter, 503)
         return Response(200, wire.brief_answer(spec.id, known.status))
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -44,7 +44,8 @@
         """
         now = monotonic_time()
         leader = self.leader(now)
-        lost, known_term = self.lost_workers, self.leadership.known_term
+        lost = self.lost_workers
+        known_term = self.leadership.known_term
         if token and not self.leadership.leading:
             lost.record_visit(machine, token, leader, known_term, now)
         same_leader_as_lost = leader is None or (leader == lost.leader and known_term <= lost.leader_term)
@@ -55,10 +56,11 @@
     def leader(self, now: float) -> str | None:
         """The node that leads, as far as is known here lately.
 
-        A peer that says so itself comes first. The replica counts only while the key-value store is
-        heard of: a node cut off from it would otherwise send workers to a leader of long ago.
+        A peer that says so itself comes first. The replica counts only while the key-value store
+        answers: a node cut off from it would otherwise send workers to a leader that was replaced long ago.
         """
-        lease_ttl_s, known_term = self.leadership.lease_ttl_s, self.leadership.known_term
+        lease_ttl_s = self.leadership.lease_ttl_s
+        known_term = self.leadership.known_term
         leading = [one for one in self.peers.heartbeats(now - lease_ttl_s) if one.leading and one.term >= known_term]
         if leading:
             return max(leading, key=lambda heartbeat: heartbeat.term).node
--- a/src/passrock/io/clock.py
+++ b/src/passrock/io/clock.py
@@ -16,7 +16,7 @@
 
 
 def use_wall_clock(source: Callable[[], float]) -> None:
-    """Take the wall clock from elsewhere, as a simulation does."""
+    """Replace the source of the wall clock, as a simulation does."""
     global _wall_clock
     _wall_clock = source
 
--- a/src/passrock/io/peer_link.py
+++ b/src/passrock/io/peer_link.py
@@ -1,4 +1,4 @@
-"""Connections between controllers: one side sends its heartbeat, the other answers with its own."""
+"""Connections between controllers: one side sends its heartbeat, the other answers with its own heartbeat."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from passrock.logs import debug
 from passrock.settings import Peer
 
-UNANSWERED_LIMIT = 8  # questions without an answer on one connection, before it is given up
+UNANSWERED_LIMIT = 8  # requests without an answer on one connection, before it is closed
 
 
 class PeerAnswer(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
         """Have ``listener`` called with each answer."""
 
     async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
-        """Send a heartbeat."""
+        """Send a heartbeat; ``timeout``, in seconds, bounds the wait for a connection."""
 
 
 class PeerConnection(asyncio.Protocol):
@@ -66,7 +66,7 @@
             try:
                 parts = split_frame(self.buffer)
                 if parts is None:
-                    return
+                    return  # incomplete
                 body, self.buffer = parts
                 message = decode(body)
             except MalformedMessageError as problem:
@@ -95,14 +95,14 @@
         self.answer: PeerAnswer | None = None
         self.waiting_since: float | None = None
         self._listeners: list[Callable[[PeerAnswer], None]] = []
-        self._asked_at: deque[float] = deque()  # the questions on this connection that are unanswered
+        self._asked_at: deque[float] = deque()  # when each unanswered request on this connection was sent
 
     def subscribe(self, listener: Callable[[PeerAnswer], None]) -> None:
         """Have ``listener`` called with each answer."""
         self._listeners.append(listener)
 
     async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
-        """Send our heartbeat; the answer arrives later or never."""
+        """Send this controller's heartbeat; the answer arrives later or never."""
         if self.waiting_since is None:
             self.waiting_since = monotonic_time()
         connection = await self._connected(timeout)
--- a/src/passrock/io/peer_messages.py
+++ b/src/passrock/io/peer_messages.py
@@ -22,7 +22,7 @@
 
 
 class PeerHeartbeat(msgspec.Struct, frozen=True, rename=WIRE_NAMES):
-    """What a controller tells each of its peers, in questions and in answers.
+    """A controller's heartbeat to a peer, as a request and as an answer.
 
     Attributes:
         node: the sender.
@@ -31,7 +31,7 @@
         store_down: whether the key-value store does not serve it.
         replica_loaded: whether it has read the key-value store since its start.
         redirected_workers: how many workers that know ``term`` came to it lately and were sent elsewhere.
-        incarnation: tells this process of the node from its former ones.
+        incarnation: distinguishes this process of the node from its former ones.
         staleness_s: it knows every cancellation that anyone confirmed this many seconds ago or earlier; None when
             it can't say.
         applied_incarnation: the incarnation of the receiver whose log of cancellations the sender applies.
@@ -58,11 +58,11 @@
     extensions: dict[str, bytes] | msgspec.UnsetType = msgspec.UNSET
 
     def extension(self, name: str) -> bytes | None:
-        """What a subsystem of the sender has to say, or None where it is switched off there."""
+        """The part of a subsystem of the sender, or None where it is switched off there."""
         return None if self.extensions is msgspec.UNSET else self.extensions.get(name)
 
     def fault(self) -> str | None:
-        """Why this message can't be right, or None."""
+        """What in this message is impossible, or None."""
         counts = (
             self.term,
             self.redirected_workers,
@@ -115,7 +115,7 @@
     """The heartbeat in a message's body.
 
     Raises:
-        MalformedMessageError: it is no heartbeat, or says what can't be.
+        MalformedMessageError: it is no heartbeat, or its values are impossible.
     """
     try:
         message = _decoder.decode(body)
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -1,4 +1,4 @@
-"""The other controllers: what they said last, and the exchange of heartbeats and cancellations with them."""
+"""The other controllers: their last heartbeats, and the exchange of heartbeats and cancellations with them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,20 @@
 from passrock.settings import Address
 
 SLICE_LIMIT = 100  # cancellations in one message, far inside its limit
-LEAST_SUPPORT_S = 1.0
+LEAST_SUPPORT_S = 1.0  # for which a peer's answer may be relied on, however short the heartbeat interval
+
+
+def is_majority(votes: int, controllers: int) -> bool:
+    """Whether ``votes`` of all controllers, this one included, are more than half."""
+    return votes * 2 > controllers
 
 
 class PeerTable:
-    """What each peer said last, and how far its log of cancellations has been applied here.
+    """The last answer of each peer, and how far its log of cancellations has been applied here.
 
     Attributes:
         links: one for each other controller.
-        support_s: for how many seconds from its question an answer may be relied on.
+        support_s: for how many seconds from its request an answer may be relied on.
         progress: how far the log of cancellations of each peer has been applied, in the order of the links.
     """
 
@@ -45,13 +50,13 @@
         return self.heartbeats(now - self.support_s)
 
     def redirected_workers(self, now: float) -> int:
-        """How many workers came to other controllers lately instead of this one."""
+        """How many workers came to other controllers lately instead of to this one."""
         return sum(heartbeat.redirected_workers for heartbeat in self.recent_heartbeats(now))
 
     def any_unresponsive(self, now: float, after_s: float) -> bool:
         """Whether some peer has neither answered nor refused for ``after_s``.
 
-        Such a controller stands still or is cut off, and workers may be waiting for its answer as this one is.
+        Such a controller is paused or cut off, and workers may be waiting for its answer as this one is.
         """
         return any(link.waiting_since is not None and now - link.waiting_since > after_s for link in self.links)
 
@@ -74,7 +79,7 @@
     Args:
         table: the links, and where the progress of replication is kept.
         local_heartbeat: makes this controller's heartbeat, without its log and extensions.
-        on_heartbeat: called with every heartbeat of a peer, question or answer.
+        on_heartbeat: called with every heartbeat of a peer, request or answer.
         cancellations: this controller's own log.
         extensions: the subsystems that are switched on.
     """
@@ -100,8 +105,8 @@
         loop = asyncio.get_running_loop()
         return await loop.create_server(lambda: PeerConnection(self._asked), address.host, address.port)
 
-    async def run(self, every_s: float) -> None:
-        """Ask every peer again and again."""
+    async def run(self, interval_s: float) -> None:
+        """Send a heartbeat to every peer at intervals, for ever."""
         while True:
             heartbeat = self.heartbeat()
             await asyncio.gather(
@@ -110,12 +115,12 @@
                         msgspec.structs.replace(
                             heartbeat, applied_incarnation=progress.incarnation, applied=progress.applied
                         ),
-                        every_s,
+                        interval_s,
                     )
                     for link, progress in zip(self.table.links, self.table.progress, strict=True)
                 )
             )
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
 
     def heartbeat(self) -> PeerHeartbeat:
         """This controller's heartbeat, with what the subsystems that are switched on add to it."""
@@ -125,7 +130,7 @@
         return msgspec.structs.replace(heartbeat, extensions={one.name: one.outgoing() for one in self.extensions})
 
     def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
-        """Accept a peer's heartbeat and answer with ours, and with the cancellations that it hasn't applied yet."""
+        """Accept a peer's heartbeat; answer with this controller's and the cancellations not yet applied there."""
         self._receive(heartbeat)
         answer = self.heartbeat()
         index = heartbeat.applied if heartbeat.applied_incarnation == answer.incarnation else 0
--- a/src/passrock/logs.py
+++ b/src/passrock/logs.py
@@ -7,12 +7,12 @@
 import sys
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-LINE_LIMIT = 400
+LINE_LIMIT = 400  # characters
 log = logging.getLogger("passrock")
 
 
 def start_logging(node: str) -> None:
-    """Send the log to standard error in the amount that LOG_LEVEL gives."""
+    """Send the log to standard error at the level that LOG_LEVEL names; any other value counts as ``info``."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s %(levelname).1s {node} %(message)s"))
     log.handlers[:] = [handler]
@@ -21,7 +21,7 @@
 
 
 def event(level: int, name: str, **facts: object) -> None:
-    """Write one event with its facts."""
+    """Write one event with its facts, cut off at ``LINE_LIMIT`` characters."""
     if log.isEnabledFor(level):
         line = " ".join([name, *(f"{key}={value}" for key, value in facts.items())])
         log.log(level, "%s", line if len(line) <= LINE_LIMIT else line[: LINE_LIMIT - 3] + "...")
--- a/src/passrock/serving.py
+++ b/src/passrock/serving.py
@@ -1,4 +1,4 @@
-"""Run a controller from a settings file, with exit codes that tell what prevented it."""
+"""Run a controller from a settings file; the exit code says what prevented it."""
 
 from __future__ import annotations
 
