--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -61,16 +61,51 @@
 @pytest.mark.parametrize(
     ("capacity", "demand", "team_weights", "expected"),
     [
-        ({"x": 10}, {"x": wanted(a_batch=3, b_batch=2)}, {}, {"a_batch": 3, "b_batch": 2}),  # capacity for all
-        ({"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, {}, {"a_batch": 5, "b_batch": 5}),
-        ({"x": 10}, {"x": wanted(a_batch=90, b_batch=2)}, {}, {"a_batch": 8, "b_batch": 2}),  # max-min
-        ({"x": 12}, {"x": wanted(a_batch=90, b_batch=90)}, {"a": 8.0}, {"a_batch": 8, "b_batch": 4}),
-        ({"x": 12}, {"x": wanted(a_one=90, a_two=90, b_batch=90)}, {}, {"a_one": 3, "a_two": 3, "b_batch": 6}),
-        ({"x": 10}, {"x": wanted(a_tiny=9000, a_huge=1)}, {}, {"a_tiny": 9, "a_huge": 1}),  # one job beside thousands
-        ({"x": 5, "y": 5}, {"x": wanted(a_batch=90), "y": wanted(b_batch=90)}, {}, {"a_batch": 5, "b_batch": 5}),
-        # y receives no submissions
-        ({"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=90)}, {}, {"a_batch": 5, "b_batch": 4}),
-        ({"x": 8}, {"x": wanted(a_batch=9, gone_batch=9)}, {}, {"a_batch": 4, "gone_batch": 4}),  # a removed team
+        pytest.param(
+            {"x": 10}, {"x": wanted(a_batch=3, b_batch=2)}, {}, {"a_batch": 3, "b_batch": 2}, id="capacity for all"
+        ),
+        pytest.param(
+            {"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, {}, {"a_batch": 5, "b_batch": 5}, id="equal shares"
+        ),
+        pytest.param({"x": 10}, {"x": wanted(a_batch=90, b_batch=2)}, {}, {"a_batch": 8, "b_batch": 2}, id="max-min"),
+        pytest.param(
+            {"x": 12},
+            {"x": wanted(a_batch=90, b_batch=90)},
+            {"a": 8.0},
+            {"a_batch": 8, "b_batch": 4},
+            id="weights of teams",
+        ),
+        pytest.param(
+            {"x": 12},
+            {"x": wanted(a_one=90, a_two=90, b_batch=90)},
+            {},
+            {"a_one": 3, "a_two": 3, "b_batch": 6},
+            id="classes within a team",
+        ),
+        pytest.param(
+            {"x": 10},
+            {"x": wanted(a_tiny=9000, a_huge=1)},
+            {},
+            {"a_tiny": 9, "a_huge": 1},
+            id="one job beside thousands",
+        ),
+        pytest.param(
+            {"x": 5, "y": 5},
+            {"x": wanted(a_batch=90), "y": wanted(b_batch=90)},
+            {},
+            {"a_batch": 5, "b_batch": 5},
+            id="demand at two controllers",
+        ),
+        pytest.param(
+            {"x": 9, "y": 9},
+            {"x": wanted(a_batch=90, b_batch=90)},
+            {},
+            {"a_batch": 5, "b_batch": 4},
+            id="a controller without submissions",
+        ),
+        pytest.param(
+            {"x": 8}, {"x": wanted(a_batch=9, gone_batch=9)}, {}, {"a_batch": 4, "gone_batch": 4}, id="a removed team"
+        ),
     ],
 )
 def test_capacity_is_divided_fairly(capacity, demand, team_weights, expected):
@@ -304,15 +339,27 @@
 @pytest.mark.parametrize(
     ("jobs", "starts", "prioritized"),
     [
-        ([waiting("j", "low", 0.0)], [("high", 250.0)], ["j"]),
-        ([waiting("j", "low", 100.0)], [("high", 250.0)], []),  # not for long
-        ([waiting("j", "low", 0.0)], [], []),  # nobody is served
-        ([waiting("j", "low", 0.0)], [("low", 250.0)], []),  # it is served itself
-        ([waiting("j", "low", 0.0)], [("high", 150.0), ("low", 160.0), ("low", 170.0)], []),
-        ([waiting("j", "low", 0.0, Obstacle.NO_MACHINE)], [("high", 250.0)], []),
-        ([waiting("j", "low", 0.0, Obstacle.TEAM_LIMIT)], [("high", 250.0)], []),
-        ([waiting("j", "low", 0.0, Obstacle.FAILING), waiting("k", "low", 9.0)], [("high", 250.0)], ["k"]),
-        ([waiting("j", "low", 5.0), waiting("k", "other", 0.0)], [("high", 250.0)], ["k", "j"]),  # longest first
+        pytest.param([waiting("j", "low", 0.0)], [("high", 250.0)], ["j"], id="a long wait"),
+        pytest.param([waiting("j", "low", 100.0)], [("high", 250.0)], [], id="not for long"),
+        pytest.param([waiting("j", "low", 0.0)], [], [], id="nobody is served"),
+        pytest.param([waiting("j", "low", 0.0)], [("low", 250.0)], [], id="it is served itself"),
+        pytest.param(
+            [waiting("j", "low", 0.0)],
+            [("high", 150.0), ("low", 160.0), ("low", 170.0)],
+            [],
+            id="it was served within the window",
+        ),
+        pytest.param([waiting("j", "low", 0.0, Obstacle.NO_MACHINE)], [("high", 250.0)], [], id="no machine"),
+        pytest.param([waiting("j", "low", 0.0, Obstacle.TEAM_LIMIT)], [("high", 250.0)], [], id="the team's limit"),
+        pytest.param(
+            [waiting("j", "low", 0.0, Obstacle.FAILING), waiting("k", "low", 9.0)],
+            [("high", 250.0)],
+            ["k"],
+            id="a failing job beside a waiting one",
+        ),
+        pytest.param(
+            [waiting("j", "low", 5.0), waiting("k", "other", 0.0)], [("high", 250.0)], ["k", "j"], id="longest first"
+        ),
     ],
 )
 def test_which_jobs_are_prioritized_after_a_long_wait(jobs, starts, prioritized):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -12,19 +12,43 @@
 
 # job fields, machines (name, zone, spot), tasks expected to be placed
 PLACES = [
-    ({"tasks": 3}, [("m1", "a", False)], 2),
-    ({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0),
-    ({"zone": "b"}, [("m1", "a", False)], 0),
-    ({"types": ("other",)}, [("m1", "a", False)], 0),
-    ({}, [("m1", "a", True)], 0),
-    ({"allows_spot": True}, [("m1", "a", True)], 1),
-    ({"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True}, [("m1", "a", False)], 1),
-    ({"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True}, [("m1", "a", False), ("m2", "b", False)], 2),
-    ({"tasks": 3, "kind": JobKind.GANG, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 0),
-    ({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3),
-    ({"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2),
-    ({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8),  # the team's limit
-    ({"tasks": 9, "kind": JobKind.GANG}, [(f"m{i}", "a", False) for i in range(9)], 0),
+    pytest.param({"tasks": 3}, [("m1", "a", False)], 2, id="as many tasks as fit"),
+    pytest.param({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0, id="a gang that does not fit"),
+    pytest.param({"zone": "b"}, [("m1", "a", False)], 0, id="another zone"),
+    pytest.param({"types": ("other",)}, [("m1", "a", False)], 0, id="another machine type"),
+    pytest.param({}, [("m1", "a", True)], 0, id="no spot instances wanted"),
+    pytest.param({"allows_spot": True}, [("m1", "a", True)], 1, id="spot instances allowed"),
+    pytest.param(
+        {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
+        [("m1", "a", False)],
+        1,
+        id="replicas spread over zones: one zone only",
+    ),
+    pytest.param(
+        {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
+        [("m1", "a", False), ("m2", "b", False)],
+        2,
+        id="replicas spread over zones",
+    ),
+    pytest.param(
+        {"tasks": 3, "kind": JobKind.GANG, "single_zone": True},
+        [("m1", "a", False), ("m2", "b", False)],
+        0,
+        id="a gang of one zone: neither zone has capacity",
+    ),
+    pytest.param(
+        {"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3, id="a gang over two zones"
+    ),
+    pytest.param(
+        {"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2, id="an array of one zone"
+    ),
+    pytest.param({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8, id="the team's limit"),
+    pytest.param(
+        {"tasks": 9, "kind": JobKind.GANG},
+        [(f"m{i}", "a", False) for i in range(9)],
+        0,
+        id="a gang beyond the team's limit",
+    ),
 ]
 
 
