--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -117,9 +117,9 @@
         spec = job.spec
         options = []
         for machine in self.capacity.schedulable:
-            if not spec.allows(machine.type.name, machine.zone, spot=machine.spot) or not self.holds.allows(
-                job, machine
-            ):
+            if not spec.allows(machine.type.name, machine.zone, spot=machine.spot):
+                continue
+            if not self.holds.allows(job, machine):
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -41,14 +41,14 @@
 
 
 class BindingResult(msgspec.Struct):
-    """The outcome of a round: each assigned machine's team, and the capacity that teams still lack."""
+    """The outcome of a round: the team of each assigned machine, and the shortfall of each team that has one."""
 
     assignments: dict[str, str] = msgspec.field(default_factory=dict)
     shortfalls: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 def split_into_pages(names: list[str], max_bytes: float) -> list[list[str]]:
-    """A reservation's machines in pages that fit a stored record each; at least one page."""
+    """Split a reservation's machines into pages that each fit a stored record; returns at least one page."""
     pages: list[list[str]] = [[]]
     page_bytes = 0
     for name in names:
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -71,8 +71,8 @@
 def _tasks_worth_a_slot(job: Job) -> int:
     """How many of a job's waiting tasks are worth capacity of their own.
 
-    A machine has a minimum charge, in which one slot runs several short tasks one after the other. A huge
-    array of tasks of four seconds had all spot instances provisioned at once otherwise.
+    A machine has a minimum charge, in the time of which one slot runs several short tasks one after the other.
+    Without this limit, a huge array of four-second tasks had all spot instances provisioned at once.
     """
     if job.spec.kind is JobKind.SERVICE:
         return job.waiting
@@ -89,10 +89,10 @@
     objectives: ServiceLevelObjectives,
     now: float,
 ) -> dict[MachineOffering, int]:
-    """How many machines of which offering to provision so that the queue's tasks find capacity.
+    """How many machines of each offering to provision so that the queue's tasks find capacity.
 
-    Booting machines are filled first. A gang also counts the free capacity of machines that are up, as it may
-    have to join them in one zone.
+    Booting machines are filled first. For a gang the free capacity of running machines counts too, as its tasks may
+    have to be in the same zone as these.
     """
     planner = _ScaleOutPlanner(catalog, objectives, now)
     smallest = smallest_request(queue)
@@ -164,7 +164,7 @@
         return added
 
     def add_for_gang(self, job: Job, count: int, bins: list[CapacityBin]) -> list[CapacityBin]:
-        """Take the cheapest option for the whole gang; none is added when no option places all of it."""
+        """Use the cheapest option for all tasks of the gang; nothing is added when no option places all of them."""
         best = min(self._gang_options(job, count, bins), key=lambda option: option.cost, default=None)
         if best is None:
             return []
