--- a/src/passrock/controller/admission_controller.py
+++ b/src/passrock/controller/admission_controller.py
@@ -23,4 +23,4 @@
         """A token for its transaction, a refusal, or None when it needs no token."""
 
     def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
-        """A request with a token is over; ``unused`` when it is certain that nothing was accepted by it."""
+        """A request with a token has ended; ``unused`` when it is certain that nothing was accepted by it."""
