--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -55,10 +55,10 @@
 
 
 async def all_controllers_down_longer_than_a_lease(cluster, leader):
-    sessions = {name: worker.incarnation for name, worker in cluster.workers.items()}
+    incarnations = {name: worker.incarnation for name, worker in cluster.workers.items()}
     await cluster.cancel("wk-000002")
     await cluster.crash(list(cluster.nodes), cluster.limits["lease_s"] * 1.5)
-    return all(cluster.workers[name].incarnation > incarnation for name, incarnation in sessions.items())
+    return all(cluster.workers[name].incarnation > incarnation for name, incarnation in incarnations.items())
 
 
 async def leader_ends_while_machines_are_cut(cluster, leader, kind="machine", for_s=8.0):
@@ -121,7 +121,7 @@
 
 
 async def old_reports_after_newer_ones(cluster, leader):
-    """Of an earlier moment, of an earlier session, and of an earlier attempt."""
+    """Of an earlier moment, of an earlier incarnation, and of an earlier attempt."""
     names = on_machines(cluster, "wk-000006") + on_machines(cluster, "wk-000002")
     held = {name: [newest(cluster, name)] for name in names}
     await cluster.crash(list(cluster.nodes), cluster.limits["lease_s"] * 1.2)
