--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -91,7 +91,7 @@
 
     def _waiting(self, scheduler: Scheduler, now: float) -> Iterable[WaitingJob]:
         for job in scheduler.job_table.jobs.values():
-            if job.waiting > 0 and not job.cancelled and job.final_status is None:
+            if job.waiting_count > 0 and not job.cancelled and job.final_status is None:
                 yield WaitingJob(job.spec.id, flow_of(job), job.submitted_at, self._obstacle(scheduler, job, now))
 
     def _obstacle(self, scheduler: Scheduler, job: Job, now: float) -> Obstacle:
--- a/src/passrock/admission/core/flows.py
+++ b/src/passrock/admission/core/flows.py
@@ -56,8 +56,8 @@
 
 def _guarantees(teams: Mapping[str, Team]) -> dict[str, float]:
     """Teams by guarantee: GPUs where any team has some guaranteed, CPUs otherwise."""
-    by_gpus = any(team.gpus > 0 for team in teams.values())
-    amounts = {name: team.gpus if by_gpus else team.cpus for name, team in teams.items()}
+    by_gpus = any(team.guaranteed_gpus > 0 for team in teams.values())
+    amounts = {name: team.guaranteed_gpus if by_gpus else team.guaranteed_cpus for name, team in teams.items()}
     smallest = min((amount for amount in amounts.values() if amount > 0), default=None)
     if smallest is None:
         return dict.fromkeys(amounts, DEFAULT_WEIGHT)
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -59,7 +59,9 @@
     def _scale_out(self, queue: list[Job], gpus: ZoneGpus, now: float) -> None:
         # a gang for which preempted tasks are still stopping will get their capacity
         lacking = [
-            job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_for(job)
+            job
+            for job in queue
+            if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_victims_for(job)
         ]
         machine_counts = plan_scale_out(
             lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
@@ -94,7 +96,7 @@
         Gangs with tasks on machines that were cut off were in no queue, and their other machines were deleted.
         """
         return any(
-            job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
+            job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting_count > 0 and not job.cancelled
             for job in self.job_table.jobs.values()
         )
 
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -52,7 +52,7 @@
 def _check_socket_limit(settings: Settings, catalog: MachineCatalog, sockets: int) -> None:
     """Log once when the sockets are too few for the machines that the guarantees need."""
     largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
-    guaranteed = sum(team.gpus for team in settings.teams.values())
+    guaranteed = sum(team.guaranteed_gpus for team in settings.teams.values())
     if largest > 0 and guaranteed / largest > sockets:
         machines = math.ceil(guaranteed / largest)
         error("socket_limit_below_quota", sockets=sockets, machines_guaranteed=machines)
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -149,14 +149,16 @@
     def _request(self, team: Team, unit: float) -> ReservationRequest:
         """What a team's demand asks for within its quota, in units of the largest machine."""
         gpus = self.scheduler.quotas.demand(team.name).gpus
-        if team.gpus_max > 0:
-            gpus = min(gpus, team.gpus_max)
+        if team.max_gpus > 0:
+            gpus = min(gpus, team.max_gpus)
         desired = gpus / unit
-        return ReservationRequest(team.name, desired, team.gpus / unit, desired * self.settings.operator.buffer_share)
+        return ReservationRequest(
+            team.name, desired, team.guaranteed_gpus / unit, desired * self.settings.operator.buffer_share
+        )
 
     def _cluster_gpus(self) -> ClusterGpus:
         waiting = sum(
-            job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
+            job.spec.resources.gpus * job.waiting_count for job in self.job_table.jobs.values() if not job.cancelled
         )
         sums = ClusterGpus(machines=len(self.inventory.machines), waiting=waiting)
         for machine in self.inventory.machines.values():
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -146,7 +146,7 @@
         info("task_preempted", job=victim.job.spec.id, task=victim.index, machine=victim.machine, by=job.spec.id)
         stop_gracefully(victim, self.settings.gang_peer_s)
         if victim.is_unlaunched:  # no answer has carried its launch: the capacity is free at once
-            self.job_table.attempt_lost(victim, now)
+            self.job_table.record_attempt_lost(victim, now)
             self.evaluations.request()
         machine = self.inventory.machines.get(victim.machine)
         if machine is not None:
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -242,7 +242,7 @@
             return
         if not self.health.is_lease_expired(machine, now, self.fence.confirmed_at):
             return
-        lost = self.job_table.lease_expired(machine.name, now)
+        lost = self.job_table.record_lease_expired(machine.name, now)
         if lost:
             info("worker_lease_expired", machine=machine.name, tasks=lost)
 
@@ -257,7 +257,7 @@
 
     def _cordon_faulty(self, machine: Machine) -> None:
         """Drain a machine on which tasks of several jobs failed, and delete it when it is empty."""
-        failed_jobs = self.job_table.failures_against(machine) if machine.failed_jobs else 0
+        failed_jobs = self.job_table.failed_job_count(machine) if machine.failed_jobs else 0
         if failed_jobs < CORDON_MIN_FAILED_JOBS:
             return
         info("machine_cordoned", machine=machine.name, jobs=failed_jobs)
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -65,7 +65,7 @@
         learned_at = cancellations.learned_at(job.spec.id)
         if learned_at is not None:
             job_table.cancel(job, learned_at)
-        job_table.check_loaded(job)
+        job_table.finish_loading(job)
 
 
 def confirmed_at(cancellation: Entry) -> float:
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -85,7 +85,7 @@
 
     def machine_lost(self, name: str) -> None:
         """The cloud has confirmed that a machine is deleted."""
-        lost = self.job_table.machine_lost(name, monotonic_time())
+        lost = self.job_table.record_machine_lost(name, monotonic_time())
         self.assignments.pop(name, None)
         self.rounds.bring_forward()
         info("machine_lost", machine=name, tasks=lost)
--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -10,7 +10,9 @@
 from passrock.core.machine import Machine
 from passrock.core.model import JobKind, Resources
 
-OPEN_ENDED_S = 3600.0  # for what ends at its user's request: services, and orphans, whose run time has no estimate
+OPEN_ENDED_RUN_S = (
+    3600.0  # for what ends at its user's request: services, and orphans, whose run time has no estimate
+)
 
 
 class CapacityForecast:
@@ -43,7 +45,7 @@
         return seconds
 
     def _estimate(self, machine: Machine, resources: Resources, now: float) -> float:
-        free = self.capacity.on(machine)
+        free = self.capacity.free_on(machine)
         if resources.fits(free):
             return 0.0
         attempts = self.job_table.attempts_on(machine.name)
@@ -52,7 +54,7 @@
             free = free + released
             if resources.fits(free):
                 return seconds_left
-        return OPEN_ENDED_S
+        return OPEN_ENDED_RUN_S
 
     def _seconds_left(self, attempt: TaskAttempt, now: float) -> float:
         """Seconds until the attempt is likely to end; at least as long as stopping it would take."""
@@ -60,6 +62,6 @@
         if attempt.stop_grace_s is not None:
             return self.stop_latency_s
         if spec.kind is JobKind.SERVICE:
-            return max(OPEN_ENDED_S, self.stop_latency_s)
+            return max(OPEN_ENDED_RUN_S, self.stop_latency_s)
         run_time = now - (attempt.running_since or now)
         return max(spec.estimated_run_s - run_time, self.stop_latency_s)
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -40,12 +40,12 @@
                 self.zones[machine.zone] = None
                 self.machine_types[machine.type.name] = machine.type
 
-    def narrow_to(self, waiting: list[Job]) -> None:
+    def update_with_capacity(self, waiting: list[Job]) -> None:
         """Restrict ``with_capacity`` to the machines on which at least the smallest waiting task fits."""
         least = smallest_request(waiting)
         self.with_capacity = [machine for machine in self.schedulable if machine.has_capacity_for(least)]
 
-    def on(self, machine: Machine) -> Resources:
+    def free_on(self, machine: Machine) -> Resources:
         """The resources that are free on the machine."""
         free = self._free.get(machine.name)
         if free is None:
@@ -54,17 +54,17 @@
 
     def allocate(self, machine: Machine, resources: Resources) -> None:
         """Allocate resources on the machine for the rest of the pass, or until they are released."""
-        self._free[machine.name] = self.on(machine) - resources
+        self._free[machine.name] = self.free_on(machine) - resources
 
     def release(self, machine: Machine, resources: Resources) -> None:
         """Undo a tentative allocation."""
-        self._free[machine.name] = self.on(machine) + resources
+        self._free[machine.name] = self.free_on(machine) + resources
 
     def zones_to_try(self, spec: JobSpec) -> list[str | None]:
         """The zones to try for a job without tasks so far; None stands for all zones together."""
         return list(self.zones) if spec.single_zone else [None]
 
-    def longest_image_fetch(self, spec: JobSpec) -> float:
+    def longest_image_fetch_s(self, spec: JobSpec) -> float:
         """Seconds to fetch the job's image on the slowest type of the schedulable machines."""
         return max(
             (image_fetch_time(spec, machine_type) for machine_type in self.machine_types.values()), default=0.0
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -28,13 +28,13 @@
     @classmethod
     def of(cls, spec: JobSpec) -> GangShape:
         """The shape of a gang."""
-        return cls(spec.resources, spec.types, spec.zone, spec.allows_spot, spec.single_zone)
+        return cls(spec.resources, spec.machine_types, spec.zone, spec.allows_spot, spec.single_zone)
 
 
 class GangOption(NamedTuple):
     """Machines for all tasks of a gang, in the order of its tasks, and their cost in seconds."""
 
-    cost: float
+    cost_s: float
     machines: list[Machine]
 
 
@@ -68,7 +68,7 @@
         shape = GangShape.of(spec)
         unschedulable_size = self._unschedulable_shapes.get(shape)
         if unschedulable_size is not None and spec.tasks >= unschedulable_size and not self.holds.exist_for(job):
-            self.starvation_holds.renew(job, now)
+            self.starvation_holds.hold_machines(job, now)
             return []
         if self.quotas.has_orphans(job) or not self.quotas.allows(job, spec.tasks):
             return []
@@ -76,7 +76,7 @@
         if option is None:
             smallest = spec.tasks if unschedulable_size is None else min(spec.tasks, unschedulable_size)
             self._unschedulable_shapes[shape] = smallest
-            self.starvation_holds.renew(job, now)
+            self.starvation_holds.hold_machines(job, now)
             return []
         return self._start(job, option.machines, now)
 
@@ -84,7 +84,7 @@
         best: GangOption | None = None
         for zone in self.capacity.zones_to_try(job.spec):
             option = self._option_in(zone, job, now)
-            if option is not None and (best is None or option.cost < best.cost):
+            if option is not None and (best is None or option.cost_s < best.cost_s):
                 best = option
         return best
 
@@ -114,5 +114,5 @@
             self.capacity.allocate(machine, job.spec.resources)
             self.holds.release(machine.name)
             started.append(self.job_table.start(job, index, machine, attempt_number, now))
-        job.advance_first_waiting()
+        job.advance_first_waiting_index()
         return started
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -120,7 +120,7 @@
         self.final_status: str | None = None  # once committed
         self.done_count = 0
         self.attempt_count = 0
-        self.first_waiting = 0  # no task with a lower index waits, apart from the requeued ones
+        self.first_waiting_index = 0  # no task with a lower index waits, apart from the requeued ones
         self.requeued: set[int] = set()  # tasks that wait again after their attempt was lost
         self.retry_not_before = 0.0
         self.consecutive_failures = 0
@@ -158,28 +158,28 @@
         return page is not None and index in page.attempts
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many tasks are neither done nor placed."""
         return self.spec.tasks - self.done_count - self.attempt_count
 
-    def next_waiting(self, limit: int) -> list[int]:
+    def next_waiting_indexes(self, limit: int) -> list[int]:
         """Up to ``limit`` tasks to place, requeued ones first; the job is not changed."""
         waiting = sorted(self.requeued)[:limit]
-        index = self.first_waiting
+        index = self.first_waiting_index
         while index < self.spec.tasks and len(waiting) < limit:
             if not self.is_done(index) and not self.has_attempt(index) and index not in self.requeued:
                 waiting.append(index)
             index += 1
         return waiting
 
-    def advance_first_waiting(self) -> None:
+    def advance_first_waiting_index(self) -> None:
         """Skip tasks that are done or placed, so that a large array isn't searched from its start each time."""
-        while self.first_waiting < self.spec.tasks and (
-            self.is_done(self.first_waiting)
-            or self.has_attempt(self.first_waiting)
-            or self.first_waiting in self.requeued
+        while self.first_waiting_index < self.spec.tasks and (
+            self.is_done(self.first_waiting_index)
+            or self.has_attempt(self.first_waiting_index)
+            or self.first_waiting_index in self.requeued
         ):
-            self.first_waiting += 1
+            self.first_waiting_index += 1
 
     def next_attempt_number(self, index: int) -> int:
         """The number of the next attempt; one for all tasks of a gang."""
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -54,7 +54,7 @@
     behind_guaranteed: bool
     behind_objectives: bool
     place_by: float
-    submitted: float
+    submitted_at: float
 
 
 class JobQueue:
@@ -75,13 +75,15 @@
         self.overrides = overrides
         self.guaranteed: set[str] = set()
         self._ranks: dict[str, JobRank] = {}
-        self._ranked_version: int | None = None  # of the demand that ``guaranteed`` and the ranks were found for
+        self._ranked_demand_version: int | None = (
+            None  # of the demand that ``guaranteed`` and the ranks were found for
+        )
 
-    def update_guaranteed(self) -> None:
+    def update_guaranteed_jobs(self) -> None:
         """Find the jobs that fit into their team's guarantee along with all its earlier unfinished jobs."""
-        if self._ranked_version == self.job_table.demand_version:
+        if self._ranked_demand_version == self.job_table.demand_version:
             return
-        self._ranked_version = self.job_table.demand_version
+        self._ranked_demand_version = self.job_table.demand_version
         self.guaranteed = set()
         self._ranks = {}
         demand: dict[str, Resources] = {}
@@ -119,7 +121,7 @@
         ready = [
             job
             for job in self.job_table.jobs.values()
-            if job.waiting > 0
+            if job.waiting_count > 0
             and not job.cancelled
             and job.retry_not_before <= now
             and job.final_status is None
@@ -140,10 +142,10 @@
                 behind_guaranteed=False,
                 behind_objectives=False,
                 place_by=job.waiting_since,
-                submitted=job.submitted_at_monotonic,
+                submitted_at=job.submitted_at_monotonic,
             )
         latest_start = self.objectives.latest_start(
-            job, now, guaranteed=rank.is_guaranteed, image_fetch_s=self.capacity.longest_image_fetch(job.spec)
+            job, now, guaranteed=rank.is_guaranteed, image_fetch_s=self.capacity.longest_image_fetch_s(job.spec)
         )
         return QueuePosition(
             behind_prioritized,
@@ -152,5 +154,5 @@
             behind_guaranteed=not rank.is_guaranteed,
             behind_objectives=latest_start is None,
             place_by=job.submitted_at_monotonic if latest_start is None else latest_start,
-            submitted=job.submitted_at_monotonic,
+            submitted_at=job.submitted_at_monotonic,
         )
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -63,7 +63,7 @@
             page.attempts[index] = attempt
             self._track(attempt)
 
-    def check_loaded(self, job: Job) -> None:
+    def finish_loading(self, job: Job) -> None:
         """Check a job after all its pages are loaded: a gang of which some tasks have no attempt is stopped."""
         if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self._stop_gang(job)
@@ -75,7 +75,7 @@
         """The attempts that are or may be on a machine; copy them before changing any."""
         return self.attempts_by_machine.get(machine, {}).values()
 
-    def task_committed(self, job_id: str, index: int) -> bool:
+    def is_task_committed(self, job_id: str, index: int) -> bool:
         """Whether all that is known of this task is committed, so that a worker may forget it."""
         job = self.jobs.get(job_id)
         if job is None:
@@ -83,7 +83,7 @@
         page = job.pages.get(index // self.page_size)
         return page is None or page.committed_version >= page.version
 
-    def failures_against(self, machine: Machine) -> int:
+    def failed_job_count(self, machine: Machine) -> int:
         """How many unfinished jobs have failed on a machine and don't seem faulty themselves."""
         failed = [self.jobs[job_id] for job_id in machine.failed_jobs if job_id in self.jobs]
         return sum(not job.is_suspect for job in failed)
@@ -107,7 +107,7 @@
             machine.fetching.setdefault(job.spec.image, job.spec.image_gb)
         return attempt
 
-    def attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
+    def record_attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
         """Record that an attempt is proved to be on no machine any more: its task waits again.
 
         A gang that lost a task can't continue, hence its other tasks are stopped.
@@ -126,7 +126,7 @@
                 self._stop_gang(job)
         self._finalize_if_over(job)
 
-    def attempt_completed(self, attempt: TaskAttempt) -> None:
+    def record_attempt_completed(self, attempt: TaskAttempt) -> None:
         """Record that a task has completed; all tasks of a gang complete with the first of them."""
         job = attempt.job
         for ended in attempt.gang_attempts():
@@ -137,7 +137,7 @@
             self._mark_done(job, index)
         self._finalize_if_over(job)
 
-    def lease_expired(self, machine: str, now: float) -> int:
+    def record_lease_expired(self, machine: str, now: float) -> int:
         """Record that the lease of the machine's worker has expired; returns how many attempts were lost.
 
         The tasks have ended, or end when the worker resumes if it hangs. Those of cancelled jobs stay recorded until
@@ -146,13 +146,13 @@
         """
         return self._lose_all([attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled], now)
 
-    def machine_lost(self, machine: str, now: float) -> int:
+    def record_machine_lost(self, machine: str, now: float) -> int:
         """Record that the machine no longer exists; returns how many attempts were lost with it."""
         return self._lose_all(list(self.attempts_on(machine)), now)
 
     def _lose_all(self, attempts: list[TaskAttempt], now: float) -> int:
         for attempt in attempts:
-            self.attempt_lost(attempt, now)
+            self.record_attempt_lost(attempt, now)
         return len(attempts)
 
     def recompute_usage(self, machine: Machine, now: float) -> None:
@@ -178,7 +178,7 @@
         for attempt in list(job.attempts()):
             attempt.stop_grace_s = 0.0
             if attempt.is_unlaunched:
-                self.attempt_lost(attempt, job.waiting_since)
+                self.record_attempt_lost(attempt, job.waiting_since)
         self._finalize_if_over(job)
 
     def remove(self, job: Job) -> None:
@@ -196,7 +196,7 @@
             if attempt.stop_grace_s is None:
                 attempt.stop_grace_s = 0.0
             if attempt.is_unlaunched:
-                self.attempt_lost(attempt, job.waiting_since)
+                self.record_attempt_lost(attempt, job.waiting_since)
 
     def _mark_done(self, job: Job, index: int) -> None:
         page = job.page(index)
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -106,11 +106,11 @@
         outstanding_gb = sum(self.fetching.values())
         if spec.image not in self.fetching:
             outstanding_gb += spec.image_gb
-        return outstanding_gb / self.type.fetch_rate if self.type.fetch_rate > 0 else 0.0
+        return outstanding_gb / self.type.fetch_gb_per_s if self.type.fetch_gb_per_s > 0 else 0.0
 
     def image_fetch_interference(self, spec: JobSpec) -> float:
         """Seconds that this job's image would add to the fetches in progress here, which share the rate."""
         others = len(self.fetching) - (spec.image in self.fetching)
-        if others <= 0 or spec.image in self.images or spec.image in self.fetching or self.type.fetch_rate <= 0:
+        if others <= 0 or spec.image in self.images or spec.image in self.fetching or self.type.fetch_gb_per_s <= 0:
             return 0.0
-        return others * min(spec.image_gb, max(self.fetching.values())) / self.type.fetch_rate
+        return others * min(spec.image_gb, max(self.fetching.values())) / self.type.fetch_gb_per_s
--- a/src/passrock/core/machine_holds.py
+++ b/src/passrock/core/machine_holds.py
@@ -16,7 +16,7 @@
     """
 
     job_id: str
-    until: float  # monotonic time
+    expires_at: float  # monotonic time
 
 
 class MachineHolds:
@@ -30,11 +30,11 @@
 
     def expire(self, now: float) -> None:
         """Drop the holds that have ended."""
-        self.by_machine = {name: hold for name, hold in self.by_machine.items() if hold.until > now}
+        self.by_machine = {name: hold for name, hold in self.by_machine.items() if hold.expires_at > now}
 
-    def hold(self, machine: Machine, job: Job, until: float) -> None:
+    def hold(self, machine: Machine, job: Job, expires_at: float) -> None:
         """Hold a machine for a job; replaces an earlier hold."""
-        self.by_machine[machine.name] = MachineHold(job.spec.id, until)
+        self.by_machine[machine.name] = MachineHold(job.spec.id, expires_at)
 
     def release(self, machine_name: str) -> None:
         """End the hold of a machine, if there is one."""
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -13,11 +13,11 @@
 from passrock.core.objectives import ServiceLevelObjectives
 
 # Costs are in seconds, so that they can be weighed against the wait for an image.
-FREE_SHARE_COST = 15.0  # times the share of the machine that stays free: bin packing
-OTHER_RESERVATION_COST = 4.0  # the machine is assigned to another team
-ON_DEMAND_COST = 40.0  # an on-demand machine for a job that may use spot instances
-FRAGMENTATION_COST = 40.0  # times the share that stays free next to a replica, for as long as that runs
-FAILED_HERE_COST = 1000.0  # the job has failed on this machine
+FREE_SHARE_COST_S = 15.0  # times the share of the machine that stays free: bin packing
+OTHER_RESERVATION_COST_S = 4.0  # the machine is assigned to another team
+ON_DEMAND_COST_S = 40.0  # an on-demand machine for a job that may use spot instances
+FRAGMENTATION_COST_S = 40.0  # times the share that stays free next to a replica, for as long as that runs
+AVOIDED_MACHINE_COST_S = 1000.0  # the job has failed on this machine
 
 # Cost, name of the machine (which decides between equal costs), machine; ordered by heapq.
 Candidate = tuple[float, str, Machine]
@@ -43,22 +43,22 @@
     def cost(self, job: Job, machine: Machine) -> float:
         """The cost in seconds of placing a task of the job on the machine."""
         spec = job.spec
-        free_share = (self.capacity.on(machine) - spec.resources).dominant_share(machine.type.size)
+        free_share = (self.capacity.free_on(machine) - spec.resources).dominant_share(machine.type.size)
         interference = machine.image_fetch_interference(spec)
-        cost = machine.image_fetch_time(spec) + interference + FREE_SHARE_COST * free_share
+        cost = machine.image_fetch_time(spec) + interference + FREE_SHARE_COST_S * free_share
         team = self.assignments.get(machine.name)
         if team is not None and team != spec.team:
-            cost += OTHER_RESERVATION_COST
+            cost += OTHER_RESERVATION_COST_S
         if spec.allows_spot and not machine.spot:
-            cost += ON_DEMAND_COST
+            cost += ON_DEMAND_COST_S
         if machine.name in job.avoided_machines:
-            cost += FAILED_HERE_COST
+            cost += AVOIDED_MACHINE_COST_S
         if spec.kind is JobKind.SERVICE:
             # Replicas run for long: spread over empty machines they fragment each of them. What is left there is of
             # no use to gangs that need entire machines, and is paid for until the last replica ends. But next to a
             # replica that is still fetching another image, both would start late.
             occupied = self.job_table.attempts_by_machine.get(machine.name)
-            cost += interference if occupied else FRAGMENTATION_COST * free_share
+            cost += interference if occupied else FRAGMENTATION_COST_S * free_share
         return cost
 
     def candidates(self, job: Job, zone: str | None, now: float) -> list[Machine]:
@@ -77,7 +77,7 @@
         return [
             machine
             for machine in self.capacity.with_capacity
-            if spec.resources.fits(self.capacity.on(machine))
+            if spec.resources.fits(self.capacity.free_on(machine))
             and spec.allows(machine.type.name, machine.zone, spot=machine.spot)
             and (zone is None or machine.zone == zone)
             and (machine.spot or not spot_only[machine.type.name])
@@ -92,7 +92,7 @@
 
     def push_back(self, heap: list[Candidate], job: Job, machine: Machine) -> None:
         """Put a machine back on the heap after a task was placed on it, if one more fits."""
-        if job.spec.resources.fits(self.capacity.on(machine)):
+        if job.spec.resources.fits(self.capacity.free_on(machine)):
             heappush(heap, (self.cost(job, machine), machine.name, machine))
 
 
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -85,21 +85,21 @@
     """A team with its guaranteed capacity and its quota (``*_max``), in CPUs and GPUs; 0 stands for none."""
 
     name: str
-    cpus: float
-    cpus_max: float
-    gpus: float
-    gpus_max: float
+    guaranteed_cpus: float
+    max_cpus: float
+    guaranteed_gpus: float
+    max_gpus: float
 
     @property
     def has_guarantee(self) -> bool:
         """Whether any capacity is guaranteed to the team."""
-        return self.cpus > 0 or self.gpus > 0
+        return self.guaranteed_cpus > 0 or self.guaranteed_gpus > 0
 
     def within_quota(self, used: Resources) -> bool:
         """Whether ``used`` stays within the team's quota."""
         return not (
-            (self.cpus_max > 0 and used.cpus > self.cpus_max + EPSILON)
-            or (self.gpus_max > 0 and used.gpus > self.gpus_max + EPSILON)
+            (self.max_cpus > 0 and used.cpus > self.max_cpus + EPSILON)
+            or (self.max_gpus > 0 and used.gpus > self.max_gpus + EPSILON)
         )
 
     def within_guarantee(self, used: Resources) -> bool:
@@ -107,7 +107,8 @@
         if not self.has_guarantee:
             return False
         return not (
-            (self.cpus > 0 and used.cpus > self.cpus + EPSILON) or (self.gpus > 0 and used.gpus > self.gpus + EPSILON)
+            (self.guaranteed_cpus > 0 and used.cpus > self.guaranteed_cpus + EPSILON)
+            or (self.guaranteed_gpus > 0 and used.gpus > self.guaranteed_gpus + EPSILON)
         )
 
 
@@ -117,7 +118,7 @@
     name: str
     size: Resources
     cache_gb: float
-    fetch_rate: float
+    fetch_gb_per_s: float
     price: float
     spot_price: float
     boot_s: float
@@ -143,7 +144,7 @@
     resources: Resources
     image: str
     image_gb: float
-    types: tuple[str, ...] | None
+    machine_types: tuple[str, ...] | None
     zone: str | None
     single_zone: bool
     spread_zones: bool
@@ -156,11 +157,11 @@
     def allows(self, type_name: str, zone: str, *, spot: bool) -> bool:
         """Whether the job may use machines of this type in this zone, spot instances or on-demand ones."""
         return (
-            (self.types is None or type_name in self.types)
+            (self.machine_types is None or type_name in self.machine_types)
             and (self.zone is None or self.zone == zone)
             and (self.allows_spot or not spot)
         )
 
-    def zone_cap(self) -> int:
+    def max_tasks_per_zone(self) -> int:
         """The most tasks that may be in one zone: half of them, rounded up, when they have to be spread."""
         return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -8,9 +8,9 @@
 from passrock.core.model import JobSpec, MachineType
 
 # Times the provisioning time of a machine: with no more than this left, a job can't wait for a spot instance.
-PROVISIONING_MARGIN = 1.5
+PROVISIONING_MARGIN_RATIO = 1.5
 # Times the owner's estimate of the run time, which is often too low, where a job has to end in time.
-ESTIMATE_MARGIN = 1.3
+RUN_TIME_MARGIN_RATIO = 1.3
 
 
 class Objective(msgspec.Struct, frozen=True):
@@ -86,7 +86,7 @@
         if spec.deadline_s is not None:
             finish_limits = sorted([*finish_limits, spec.deadline_s])
         for within_s in finish_limits:
-            start = job.submitted_at_monotonic + within_s - spec.estimated_run_s * ESTIMATE_MARGIN
+            start = job.submitted_at_monotonic + within_s - spec.estimated_run_s * RUN_TIME_MARGIN_RATIO
             if earliest_start < start:
                 return start - image_fetch_s
         return None
@@ -100,7 +100,9 @@
         if self.is_starving(job, now):
             return True
         latest = self.latest_start(job, now)
-        return latest is not None and latest - now <= PROVISIONING_MARGIN * provisioning_time(machine_type, job.spec)
+        return latest is not None and latest - now <= PROVISIONING_MARGIN_RATIO * provisioning_time(
+            machine_type, job.spec
+        )
 
     def is_starving(self, job: Job, now: float) -> bool:
         """Whether the job has waited so long that it goes first and machines are held for it."""
@@ -109,7 +111,7 @@
 
 def image_fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
     """Seconds to fetch a job's image on a machine that doesn't have it."""
-    return spec.image_gb / machine_type.fetch_rate if machine_type.fetch_rate > 0 else 0.0
+    return spec.image_gb / machine_type.fetch_gb_per_s if machine_type.fetch_gb_per_s > 0 else 0.0
 
 
 def provisioning_time(machine_type: MachineType, spec: JobSpec) -> float:
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -43,18 +43,18 @@
         Returns:
             The attempts to stop; none when stopping work would not serve the job now.
         """
-        if self.is_stopping_for(job):
+        if self.is_stopping_victims_for(job):
             return []  # one set of victims at a time
-        revoked = self._revoke_elastic(job, now)
-        if revoked or elastic_only:
-            return revoked
+        elastic_victims = self._select_elastic_victims(job, now)
+        if elastic_victims or elastic_only:
+            return elastic_victims
         if job.spec.priority is Priority.PRODUCTION or self.objectives.is_starving(job, now):
             plan = self.planner.plan(job, now)
         else:
             plan = self._plan_for_objective(job, now)
-        return self._hold_and_collect(job, plan, now)
+        return self._hold_and_collect_victims(job, plan, now)
 
-    def is_stopping_for(self, job: Job) -> bool:
+    def is_stopping_victims_for(self, job: Job) -> bool:
         """Whether tasks are being stopped on a machine held for the job."""
         return any(
             attempt.stop_grace_s is not None
@@ -63,7 +63,7 @@
             for attempt in self.job_table.attempts_on(name)
         )
 
-    def _revoke_elastic(self, job: Job, now: float) -> list[TaskAttempt]:
+    def _select_elastic_victims(self, job: Job, now: float) -> list[TaskAttempt]:
         """Elastic tasks whose end lets a guaranteed gang start; empty when they are not enough.
 
         Capacity that was lent while idle is revoked at once. Elastic tasks used to be preempted as late as others,
@@ -75,7 +75,7 @@
         if not self.policy.has_elastic_work():
             return []
         plan = self.planner.plan(job, now, elastic_only=True)
-        return self._hold_and_collect(job, plan, now) if plan.has_victims else []
+        return self._hold_and_collect_victims(job, plan, now) if plan.has_victims else []
 
     def _plan_for_objective(self, job: Job, now: float) -> PreemptionPlan:
         """A plan that lets the job meet its next objective, when waiting longer would miss it."""
@@ -95,23 +95,23 @@
         return (
             self.inventory.health.lease_s
             + PLANNING_STOP_LATENCIES * self.stop_latency_s
-            + PLANNING_IMAGE_FETCHES * self.scheduler.capacity.longest_image_fetch(job.spec)
+            + PLANNING_IMAGE_FETCHES * self.scheduler.capacity.longest_image_fetch_s(job.spec)
         )
 
     def _stop_duration(self, plan: PreemptionPlan) -> float:
         """Seconds until the victims of a plan have saved and freed their resources."""
         return self.stop_latency_s + plan.longest_save_s()
 
-    def _hold_and_collect(self, job: Job, plan: PreemptionPlan, now: float) -> list[TaskAttempt]:
+    def _hold_and_collect_victims(self, job: Job, plan: PreemptionPlan, now: float) -> list[TaskAttempt]:
         """Hold a plan's machines for the job; the attempts to stop there, gangs as a whole.
 
         The hold outlasts the victims' saving: after a shorter one others used the capacity, and the job, having
         waited in vain, began to fetch its image elsewhere.
         """
-        until = now + self._stop_duration(plan) + HOLD_MARGIN_STOP_LATENCIES * self.stop_latency_s
+        expires_at = now + self._stop_duration(plan) + HOLD_MARGIN_STOP_LATENCIES * self.stop_latency_s
         victims: dict[tuple[str, int], TaskAttempt] = {}
         for entry in plan.entries:
-            self.holds.hold(entry.machine, job, until)
+            self.holds.hold(entry.machine, job, expires_at)
             for victim in entry.victims:
                 victims.update({attempt.key: attempt for attempt in victim.gang_attempts()})
         return list(victims.values())
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -91,7 +91,7 @@
         zones = ZoneConstraint(job.spec, {}) if is_gang else ZoneConstraint.of(job, self.inventory)
         for zone in self._zones_to_try(job, zones):
             options = self._options(job, zone, now, max_image_fetch_s=max_image_fetch_s, elastic_only=elastic_only)
-            plan = _cheapest(options, wanted, zones.copy())
+            plan = _cheapest_plan(options, wanted, zones.copy())
             suffices = len(plan.entries) == wanted if is_gang else bool(plan.entries)
             if suffices and (not best.entries or plan.cost_s < best.cost_s):
                 best = plan
@@ -101,7 +101,7 @@
         """How many waiting tasks the team's quota allows, up to those of one pass; all or none of a gang."""
         if job.spec.kind is JobKind.GANG:
             return job.spec.tasks if self.quotas.allows(job, job.spec.tasks) else 0
-        count = len(job.next_waiting(MAX_TASKS_PER_PASS))
+        count = len(job.next_waiting_indexes(MAX_TASKS_PER_PASS))
         while count > 0 and not self.quotas.allows(job, count):
             count -= 1
         return count
@@ -134,7 +134,7 @@
     def _choose_victims(self, job: Job, machine: Machine, now: float, *, elastic_only: bool) -> VictimChoice | None:
         """The attempts of lowest rank and least loss whose end lets one task fit; None when that is not enough."""
         resources = job.spec.resources
-        free = self.capacity.on(machine)
+        free = self.capacity.free_on(machine)
         if resources.fits(free):
             return VictimChoice(0.0, [])
         attempts = self.job_table.attempts_on(machine.name)
@@ -157,7 +157,8 @@
         victims: list[TaskAttempt] = []
         # keys of attempts are unique, so that the attempts themselves are never compared
         ranked = [
-            (self.queue.rank(attempt.job), self._loss(attempt, now), attempt.key, attempt) for attempt in stoppable
+            (self.queue.rank(attempt.job), self._lost_work_s(attempt, now), attempt.key, attempt)
+            for attempt in stoppable
         ]
         for _, loss_s, _, attempt in sorted(ranked):
             if resources.fits(free):
@@ -167,7 +168,7 @@
             victims.append(attempt)
         return VictimChoice(total_loss, victims)
 
-    def _loss(self, victim: TaskAttempt, now: float) -> float:
+    def _lost_work_s(self, victim: TaskAttempt, now: float) -> float:
         """Seconds of work lost when this task is stopped, over its whole gang."""
         spec = victim.job.spec
         # without a checkpoint all is lost since the placement, also an unfinished fetch
@@ -178,7 +179,7 @@
         return (lost + restart) * count * max(1.0, spec.resources.gpus)
 
 
-def _cheapest(options: list[PlannedMachine], wanted: int, zones: ZoneConstraint) -> PreemptionPlan:
+def _cheapest_plan(options: list[PlannedMachine], wanted: int, zones: ZoneConstraint) -> PreemptionPlan:
     """The first options, up to ``wanted``, that the zones allow."""
     entries: list[PlannedMachine] = []
     total_cost = 0.0
--- a/src/passrock/core/preemption_policy.py
+++ b/src/passrock/core/preemption_policy.py
@@ -6,7 +6,7 @@
 from passrock.core.model import ZERO_RESOURCES, Priority
 from passrock.core.scheduler import Scheduler
 
-START_COUNTS_AFTER_S = 30.0  # a start counts as one for the user once the task has run for this long
+MIN_RUN_BEFORE_PREEMPTION_S = 30.0  # a start counts as one for the user once the task has run for this long
 
 
 class PreemptionPolicy:
@@ -23,18 +23,18 @@
 
     def may_preempt(self, job: Job, victim: TaskAttempt, now: float) -> bool:
         """Whether the job may preempt the task: by higher priority, or as guaranteed job of another team."""
-        other = victim.job
-        if other.spec.id in self.scheduler.overrides.protected_from_preemption:
+        victim_job = victim.job
+        if victim_job.spec.id in self.scheduler.overrides.protected_from_preemption:
             return False
-        if other is job or other.cancelled or self.queue.rank(job) <= self.queue.rank(other):
+        if victim_job is job or victim_job.cancelled or self.queue.rank(job) <= self.queue.rank(victim_job):
             return False
-        at_once = job.spec.priority is Priority.PRODUCTION or self._is_revocable(victim, job)
-        if not at_once and not self._start_counts(victim, now):
+        immediately = job.spec.priority is Priority.PRODUCTION or self._is_revocable(victim, job)
+        if not immediately and not self._has_run_long_enough(victim, now):
             return False
-        if other.spec.priority < job.spec.priority:
+        if victim_job.spec.priority < job.spec.priority:
             return True
-        beyond_guarantee = self.queue.is_guaranteed(job) and not self.queue.is_guaranteed(other)
-        return beyond_guarantee and other.spec.team != job.spec.team
+        beyond_guarantee = self.queue.is_guaranteed(job) and not self.queue.is_guaranteed(victim_job)
+        return beyond_guarantee and victim_job.spec.team != job.spec.team
 
     def is_elastic(self, job: Job) -> bool:
         """Whether a job only uses idle capacity: low-priority work of a team without a guarantee (RAS §3.4)."""
@@ -52,13 +52,13 @@
         """Whether a task gives way to a guaranteed job as soon as that needs the capacity."""
         return self.queue.is_guaranteed(job) and self.is_elastic(victim.job)
 
-    def _start_counts(self, victim: TaskAttempt, now: float) -> bool:
+    def _has_run_long_enough(self, victim: TaskAttempt, now: float) -> bool:
         """Whether a task, or its whole gang, has run long enough for its start to count.
 
         Stopping jobs that were still fetching, or had just begun, let one job start at the cost of the starts of
         several others; the images that these had fetched were then fetched again elsewhere.
         """
         return all(
-            attempt.running_since is not None and now - attempt.running_since > START_COUNTS_AFTER_S
+            attempt.running_since is not None and now - attempt.running_since > MIN_RUN_BEFORE_PREEMPTION_S
             for attempt in victim.gang_attempts()
         )
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -186,7 +186,7 @@
 
     def _lose(self, attempt: TaskAttempt, evidence: _Evidence, result: ReconciliationResult) -> None:
         result.changed = True
-        self.job_table.attempt_lost(attempt, evidence.now)
+        self.job_table.record_attempt_lost(attempt, evidence.now)
 
     # -- exits ------------------------------------------------------------------------------
 
@@ -205,7 +205,7 @@
             result.changed = True
             result.exits.append(TaskExit(attempt, task.exit_reason, task.saved))
             record_exit(attempt, task.exit_reason, evidence.machine, self.job_table, self.inventory, evidence.now)
-        if self.job_table.task_committed(task.job, task.index) and evidence.may_launch:
+        if self.job_table.is_task_committed(task.job, task.index) and evidence.may_launch:
             result.commands.append(_command(CommandKind.FORGET, task))
 
     def _restart_in_place(
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -62,7 +62,7 @@
         return not team.within_quota(planned + job.spec.resources.scaled(count))
 
     if job.spec.kind is JobKind.GANG:
-        return 0 if exceeds_quota(job.waiting) else job.waiting
+        return 0 if exceeds_quota(job.waiting_count) else job.waiting_count
     # the counts that exceed the quota follow all those that don't: bisection finds how many of these there are
     counts = range(1, _tasks_worth_a_slot(job) + 1)
     return bisect_left(counts, True, key=exceeds_quota)
@@ -75,9 +75,9 @@
     Without this limit, a huge array of four-second tasks had all spot instances provisioned at once.
     """
     if job.spec.kind is JobKind.SERVICE:
-        return job.waiting
-    slots = math.ceil(job.waiting * min(1.0, job.spec.estimated_run_s / MINIMUM_CHARGE_S))
-    return max(slots, min(job.waiting, SMALL_ARRAY_TASKS))
+        return job.waiting_count
+    slots = math.ceil(job.waiting_count * min(1.0, job.spec.estimated_run_s / MINIMUM_CHARGE_S))
+    return max(slots, min(job.waiting_count, SMALL_ARRAY_TASKS))
 
 
 def plan_scale_out(
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -71,18 +71,18 @@
         self.waiting = self.queue.ordered(now)
         if not self.capacity.schedulable or not self.waiting:
             return []
-        self.capacity.narrow_to(self.waiting)
+        self.capacity.update_with_capacity(self.waiting)
         started: list[TaskAttempt] = []
         for job in self.waiting:
             started += self._place(job, now)
-        self.waiting = [job for job in self.waiting if job.waiting > 0]
+        self.waiting = [job for job in self.waiting if job.waiting_count > 0]
         return started
 
     def _begin_pass(self, now: float) -> None:
         self._forecast.begin_pass()
         self._tasks.begin_pass()
         self._gangs.begin_pass()
-        self.queue.update_guaranteed()
+        self.queue.update_guaranteed_jobs()
         self.holds.expire(now)
         self.quotas.count_orphans()
         self.capacity.begin_pass(now)
@@ -92,6 +92,6 @@
             return self._gangs.place(job, now)
         if self.queue.is_prioritized(job):
             # its class lacks a single start: the rest of the job waits for its turn
-            self._starvation_holds.renew(job, now)
+            self._starvation_holds.hold_machines(job, now)
             return self._tasks.place(job, now, max_tasks=1)
         return self._tasks.place(job, now, max_tasks=MAX_TASKS_PER_PASS)
--- a/src/passrock/core/starvation_holds.py
+++ b/src/passrock/core/starvation_holds.py
@@ -55,7 +55,7 @@
         self.forecast = forecast
         self.stop_latency_s = stop_latency_s
 
-    def renew(self, job: Job, now: float) -> None:
+    def hold_machines(self, job: Job, now: float) -> None:
         """Hold the machines that are likely to be free for the job first, if it has waited long enough.
 
         Without holds, smaller jobs used each machine as soon as it was free or had booted, so that a large gang
@@ -63,8 +63,8 @@
         where the rules of preemption allow it; booting machines are added once they are schedulable.
         """
         wanted = job.spec.tasks if job.spec.kind is JobKind.GANG else 1
-        goes_first = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
-        if not goes_first or not self.quotas.allows(job, wanted):
+        has_precedence = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
+        if not has_precedence or not self.quotas.allows(job, wanted):
             return
         held_already = self.holds.machines_of(job)
         held_for_others = len(self.holds) - len(held_already)
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -5,7 +5,7 @@
 from passrock.core.model import JobKind, JobSpec, MachineType, Team
 
 
-def rejection_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
+def rejection_reason(spec: JobSpec, teams: dict[str, Team], machine_types: dict[str, MachineType]) -> str | None:
     """Why a job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
@@ -13,11 +13,11 @@
     if not any(
         spec.resources.fits(machine_type.size)
         and any(spec.allows(machine_type.name, zone, spot=False) for zone in machine_type.zones)
-        for machine_type in types.values()
+        for machine_type in machine_types.values()
     ):
         return "a task fits no allowed machine type"
-    at_once = 1 if spec.kind is JobKind.ARRAY else spec.tasks
-    if not team.within_quota(spec.resources.scaled(at_once)):
+    concurrent_tasks = 1 if spec.kind is JobKind.ARRAY else spec.tasks
+    if not team.within_quota(spec.resources.scaled(concurrent_tasks)):
         return "more than the team's limit"
     if spec.single_zone and spec.spread_zones and spec.tasks > 1 and spec.kind is not JobKind.ARRAY:
         return "one zone and spread exclude each other"
--- a/src/passrock/core/task_exits.py
+++ b/src/passrock/core/task_exits.py
@@ -9,8 +9,8 @@
 from passrock.core.messages import ExitReason
 
 FAILURE_BACKOFF_S = 2.0  # doubled with each failure
-FAILURE_BACKOFF_DOUBLINGS = 6
-FAILURE_BACKOFF_LIMIT_S = 60.0
+MAX_FAILURE_BACKOFF_DOUBLINGS = 6
+MAX_FAILURE_BACKOFF_S = 60.0
 REFUSAL_BACKOFF_HEARTBEATS = 2  # heartbeat intervals until a refused start is tried again
 
 
@@ -29,7 +29,7 @@
         case ExitReason.COMPLETED:
             machine.failed_jobs.pop(job.spec.id, None)
             job.consecutive_failures = 0
-            job_table.attempt_completed(attempt)
+            job_table.record_attempt_completed(attempt)
             return
         case ExitReason.FAILED:
             _record_failure(job, machine, inventory, now)
@@ -37,7 +37,7 @@
             machine.quarantined_until = retry_refused_at
         case ExitReason.JOB_UNKNOWN:
             job.retry_not_before = retry_refused_at
-    job_table.attempt_lost(attempt, now)
+    job_table.record_attempt_lost(attempt, now)
 
 
 def _record_failure(job: Job, machine: Machine, inventory: MachineInventory, now: float) -> None:
@@ -51,5 +51,5 @@
     job.avoided_machines.add(machine.name)
     job.consecutive_failures += 1
     if len(job.avoided_machines) > 1:
-        backoff = FAILURE_BACKOFF_S * 2 ** min(job.consecutive_failures, FAILURE_BACKOFF_DOUBLINGS)
-        job.retry_not_before = now + min(backoff, FAILURE_BACKOFF_LIMIT_S)
+        backoff = FAILURE_BACKOFF_S * 2 ** min(job.consecutive_failures, MAX_FAILURE_BACKOFF_DOUBLINGS)
+        job.retry_not_before = now + min(backoff, MAX_FAILURE_BACKOFF_S)
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -29,7 +29,7 @@
     @classmethod
     def of(cls, spec: JobSpec) -> TaskShape:
         """The shape of a job's tasks."""
-        return cls(spec.resources, spec.types, spec.zone, spec.allows_spot, spec.kind)
+        return cls(spec.resources, spec.machine_types, spec.zone, spec.allows_spot, spec.kind)
 
 
 class TaskPlacement:
@@ -77,7 +77,7 @@
                 self._unschedulable_shapes.add(shape)
             return []
         started: list[TaskAttempt] = []
-        for index in job.next_waiting(max_tasks):
+        for index in job.next_waiting_indexes(max_tasks):
             if self.quotas.is_orphaned(job, index):
                 continue
             if not self.quotas.allows(job, 1):
@@ -89,7 +89,7 @@
                 break
             started.append(self._start_on_cheapest(job, index, heap, zones, now))
         self.truncated = self.truncated or len(started) == MAX_TASKS_PER_PASS
-        job.advance_first_waiting()
+        job.advance_first_waiting_index()
         return started
 
     def _start_on_cheapest(
--- a/src/passrock/core/zone_constraint.py
+++ b/src/passrock/core/zone_constraint.py
@@ -35,7 +35,7 @@
 
     def allows(self, zone: str) -> bool:
         """Whether one more task may go to the zone."""
-        if self.spec.spread_zones and self.counts.get(zone, 0) >= self.spec.zone_cap():
+        if self.spec.spread_zones and self.counts.get(zone, 0) >= self.spec.max_tasks_per_zone():
             return False
         return not (self.spec.single_zone and self.counts and zone not in self.counts)
 
--- a/src/passrock/settings/platform_file.py
+++ b/src/passrock/settings/platform_file.py
@@ -76,10 +76,10 @@
             row.fault("name", f"{name} stands there twice")
         teams[name] = Team(
             name=name,
-            cpus=row.number("cpus", default=0.0),
-            cpus_max=row.number("cpus_max", default=0.0),
-            gpus=row.number("gpus", default=0.0),
-            gpus_max=row.number("gpus_max", default=0.0),
+            guaranteed_cpus=row.number("cpus", default=0.0),
+            max_cpus=row.number("cpus_max", default=0.0),
+            guaranteed_gpus=row.number("gpus", default=0.0),
+            max_gpus=row.number("gpus_max", default=0.0),
         )
     return teams
 
--- a/src/passrock/wire/cloud.py
+++ b/src/passrock/wire/cloud.py
@@ -95,7 +95,7 @@
             name=row.name,
             size=Resources(row.cpus, row.gpus, row.memory),
             cache_gb=row.cache_gb,
-            fetch_rate=row.fetch_rate,
+            fetch_gb_per_s=row.fetch_rate,
             price=row.price,
             spot_price=row.spot_price,
             boot_s=row.boot_s,
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -96,7 +96,7 @@
         resources=Resources(message.cpus, message.gpus, message.memory),
         image=message.image,
         image_gb=message.image_gb,
-        types=message.types,
+        machine_types=message.types,
         zone=message.zone,
         single_zone=message.single_zone,
         spread_zones=message.spread_zones,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -35,7 +35,7 @@
         "resources": Resources(5, 1, 20),
         "image": "img",
         "image_gb": 2.0,
-        "types": None,
+        "machine_types": None,
         "zone": None,
         "single_zone": False,
         "spread_zones": False,
@@ -51,16 +51,16 @@
 class SchedulerHarness:
     """A job table, an inventory and a scheduler, without a controller."""
 
-    def __init__(self, machines=(("m1", "a", False),), page=50, teams=TEAMS):
-        self.job_table = JobTable(page)
+    def __init__(self, machines=(("m1", "a", False),), page_size=50, teams=TEAMS):
+        self.job_table = JobTable(page_size)
         self.inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), TERM)
         self.scheduler = Scheduler(self.job_table, self.inventory, teams, {}, OBJECTIVES)
         self.preemption = Preemption(self.scheduler)
         self.revision = 0
         for name, zone, spot in machines:
-            self.up(name, zone, spot)
+            self.add_machine(name, zone, spot)
 
-    def up(self, name, zone="a", spot=False, now=0.0):
+    def add_machine(self, name, zone="a", spot=False, now=0.0):
         return self.inventory.observe(heartbeat(name, zone=zone, spot=spot), BOX, now)
 
     def job(self, number=1, at=0.0, **fields):
@@ -74,7 +74,7 @@
                 page.committed_version = page.version
         self.job_table.uncommitted.clear()
 
-    def refresh(self, now):
+    def refresh_heartbeats(self, now):
         """Give every machine a heartbeat at this time in which no task runs."""
         for machine in self.inventory.machines.values():
             machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -504,7 +504,7 @@
 
 def started_job():
     """A job of two records with attempts and completed tasks in both."""
-    harness = SchedulerHarness((), page=4)
+    harness = SchedulerHarness((), page_size=4)
     machine = harness.inventory.observe(worker_heartbeat("host-31", incarnation=6, sequence=2), BOX, 0.0)
     job = harness.job_table.load(
         decode_record(msgspec.json.decode(golden("records/job_array.record")), JobRecord), 98, 100.0, 20.0
@@ -512,7 +512,7 @@
     for index, attempt_number in ((1, 21), (4, 23), (2, 22), (5, 24), (3, 25)):
         harness.job_table.start(job, index, machine, attempt_number, 0.0)
     for attempt in [attempt for attempt in job.attempts() if attempt.index in (1, 3, 4)]:
-        harness.job_table.attempt_completed(attempt)
+        harness.job_table.record_attempt_completed(attempt)
     return harness, job
 
 
@@ -533,7 +533,7 @@
     for index in (0, 6):
         harness.job_table.start(job, index, harness.inventory.machines["host-31"], 26, 0.0)
     for attempt in list(job.attempts()):
-        harness.job_table.attempt_completed(attempt)
+        harness.job_table.record_attempt_completed(attempt)
     job.page(4).mod_revision = 99
     other = harness.job_table.load(
         decode_record(msgspec.json.decode(golden("records/job_gang.record")), JobRecord), 96, 100.0, 20.0
@@ -556,9 +556,9 @@
 def machines_with_images():
     """Machines with images, and a team that asks for most of them."""
     names = [f"host-{number}-with-a-name-of-forty-characters" for number in range(32, 62)]
-    harness = SchedulerHarness((), page=50)
+    harness = SchedulerHarness((), page_size=50)
     for name in ("host-31", *names):
-        harness.up(name)
+        harness.add_machine(name)
     for place, name in enumerate(("host-31", *names[:7])):
         harness.inventory.machines[name].images.update({f"edition-{place % 3}": 2.5 + place % 3, "edition-9": 9.75})
     harness.job(1, tasks=60, team="t0")
@@ -578,7 +578,7 @@
 async def shrink_a_reservation(http):
     """A round that leaves an earlier leader's reservation with fewer machines than its record and its page hold."""
     harness = SchedulerHarness(())
-    harness.up("host-31")
+    harness.add_machine("host-31")
     harness.job(1, tasks=2, team="t0")
     rounds = make_rounds(state_client(http), harness)
     for entry in golden_entries("binding_round"):
@@ -700,7 +700,7 @@
 
 def loaded(entries):
     """What a new term has loaded from a replica with these entries."""
-    harness = SchedulerHarness((), page=4)
+    harness = SchedulerHarness((), page_size=4)
     client = state_client(RecordingHttp())
     rounds, queue = make_rounds(client, harness), commit_queue(client, harness.job_table)
     load_records(
@@ -895,9 +895,9 @@
         client = state_client(Conflict({key: (value, 93)}))
         harness, job = started_job()
         for attempt in list(job.attempts()):
-            harness.job_table.attempt_completed(attempt)
+            harness.job_table.record_attempt_completed(attempt)
         for index in (0, 6):
-            harness.job_table.attempt_completed(
+            harness.job_table.record_attempt_completed(
                 harness.job_table.start(job, index, harness.inventory.machines["host-31"], 26, 0.0)
             )
         finals = []
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -30,7 +30,7 @@
     )
     harness.run(1.0)
     if waiting.attempt_count:
-        harness.job_table.attempt_lost(next(waiting.attempts()), 1.0)
+        harness.job_table.record_attempt_lost(next(waiting.attempts()), 1.0)
     harness.inventory.machines["m1"].used = BOX.size
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
@@ -62,12 +62,12 @@
     assert {attempt.machine for attempt in victims} == {"m1", "m2"}
     for attempt in victims:
         stop_gracefully(attempt, 6.0)
-    assert harness.preemption.is_stopping_for(replica)
+    assert harness.preemption.is_stopping_victims_for(replica)
     assert [attempt.stop_grace_s for attempt in gang.attempts()] == [6.0, 6.0]
     assert harness.preemption.select_victims(replica, 2.0) == []  # one set of victims at a time
 
 
-ELASTIC = [
+ELASTIC_WORK_CASES = [
     pytest.param("guest", Priority.LOW, JobKind.GANG, 1, True, id="low-priority work without a guarantee"),
     pytest.param("t1", Priority.LOW, JobKind.GANG, 1, False, id="it is covered by a guarantee"),
     pytest.param("guest", Priority.NORMAL, JobKind.GANG, 1, False, id="it is more than idle-time work"),
@@ -76,7 +76,7 @@
 ]
 
 
-@pytest.mark.parametrize(("team", "priority", "kind", "tasks", "revoked"), ELASTIC)
+@pytest.mark.parametrize(("team", "priority", "kind", "tasks", "revoked"), ELASTIC_WORK_CASES)
 def test_elastic_work_is_revoked_at_once(team, priority, kind, tasks, revoked):
     """Guaranteed gangs waited for a minute beside machines full of work of a team without a guarantee."""
     harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_AND_GUEST)
@@ -97,7 +97,7 @@
     victims = harness.preemption.select_victims(gang, 1.0, elastic_only=True)
     assert (len(victims) == 4 * tasks) is revoked
     assert bool(victims) is revoked
-    assert harness.preemption.is_stopping_for(gang) is False  # until they are asked to stop
+    assert harness.preemption.is_stopping_victims_for(gang) is False  # until they are asked to stop
 
 
 def test_elastic_work_is_left_alone_when_its_capacity_is_not_enough():
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -119,12 +119,12 @@
     for attempt in job.attempts():
         attempt.reported = True
     first = next(job.attempts())
-    harness.job_table.attempt_lost(first, 5.0)
+    harness.job_table.record_attempt_lost(first, 5.0)
     assert [attempt.stop_grace_s for attempt in job.attempts()] == [0.0, 0.0]
     assert harness.run(6.0) == []  # not before every task of the old attempt has ended
     for attempt in list(job.attempts()):
-        harness.job_table.attempt_lost(attempt, 7.0)
-    harness.refresh(7.0)
+        harness.job_table.record_attempt_lost(attempt, 7.0)
+    harness.refresh_heartbeats(7.0)
     assert len(harness.run(7.0)) == 3
     assert {attempt.number for attempt in job.attempts()} == {2}
 
@@ -212,7 +212,7 @@
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     for sequence in (2, 4):
         now = float(sequence)
-        harness.refresh(now)
+        harness.refresh_heartbeats(now)
         harness.run(now)
         harness.commit()
         attempt = next(job.attempts())
@@ -249,10 +249,10 @@
         fail_on(harness, reconciler, second, machine, float(now))
     m1 = harness.inventory.machines["m1"]
     assert len(m1.failed_jobs) == 2
-    assert harness.job_table.failures_against(m1) == 0
+    assert harness.job_table.failed_job_count(m1) == 0
     fail_on(harness, reconciler, sound, "m1", 5.0)
     fail_on(harness, reconciler, other, "m1", 6.0)
-    assert harness.job_table.failures_against(m1) == 2
+    assert harness.job_table.failed_job_count(m1) == 2
 
 
 def test_a_stopped_task_gets_time_to_save_a_checkpoint():
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,11 +11,11 @@
 from passrock.core.zone_constraint import ZoneConstraint
 
 # job fields, machines (name, zone, spot), tasks expected to be placed
-PLACES = [
+PLACEMENT_CASES = [
     pytest.param({"tasks": 3}, [("m1", "a", False)], 2, id="as many tasks as fit"),
     pytest.param({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0, id="a gang that does not fit"),
     pytest.param({"zone": "b"}, [("m1", "a", False)], 0, id="another zone"),
-    pytest.param({"types": ("other",)}, [("m1", "a", False)], 0, id="another machine type"),
+    pytest.param({"machine_types": ("other",)}, [("m1", "a", False)], 0, id="another machine type"),
     pytest.param({}, [("m1", "a", True)], 0, id="no spot instances wanted"),
     pytest.param({"allows_spot": True}, [("m1", "a", True)], 1, id="spot instances allowed"),
     pytest.param(
@@ -52,7 +52,7 @@
 ]
 
 
-@pytest.mark.parametrize(("fields", "machines", "count"), PLACES)
+@pytest.mark.parametrize(("fields", "machines", "count"), PLACEMENT_CASES)
 def test_placement(fields, machines, count):
     harness = SchedulerHarness(machines)
     harness.job(**fields)
@@ -94,7 +94,7 @@
     if machine == "on-demand" or now:
         harness.inventory.machines["spot"].reclaim_at = 1.0
     harness.job(1, allows_spot=True, **fields)
-    harness.refresh(now)
+    harness.refresh_heartbeats(now)
     placed = [name for _, _, name in harness.run(now)]
     assert placed == ([machine] if machine == "on-demand" or not now else [])
 
@@ -124,7 +124,7 @@
     for number, image_gb in image_gb_of.items():
         harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=image_gb, at=0.1 * number)
     harness.run(0.4)
-    harness.scheduler.queue.update_guaranteed()
+    harness.scheduler.queue.update_guaranteed_jobs()
     assert [job.spec.id for job in harness.scheduler.queue.ordered(0.5)] == ["wk-3", "wk-1", "wk-2"]
 
 
@@ -134,7 +134,7 @@
     harness.job(2, job_class="late", at=1.0)
     harness.job(3, job_class="soon", at=2.0)
     harness.job(4, priority=Priority.PRODUCTION, at=3.0)
-    harness.scheduler.queue.update_guaranteed()
+    harness.scheduler.queue.update_guaranteed_jobs()
     assert [job.spec.id for job in harness.scheduler.queue.ordered(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
 
 
@@ -183,7 +183,7 @@
     harness = SchedulerHarness()
     own, other = harness.job(1), harness.job(2, team="t1")
     machine, holds = harness.inventory.machines["m1"], harness.scheduler.holds
-    holds.hold(machine, own, until=5.0)
+    holds.hold(machine, own, expires_at=5.0)
     assert holds.exist_for(own)
     assert holds.machines_of(own) == {"m1"}
     assert not holds.exist_for(other)
@@ -222,10 +222,10 @@
     harness.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), single_zone=True, at=1.0)
     for turn in range(3, 9):  # one small task ends at a time, and another one waits
         now = 10.0 * turn
-        harness.refresh(now)
+        harness.refresh_heartbeats(now)
         for name, machine in harness.inventory.machines.items():
             machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
-        harness.job_table.attempt_completed(next(small.pop(0).attempts()))
+        harness.job_table.record_attempt_completed(next(small.pop(0).attempts()))
         small.append(harness.job(turn, team="t1", resources=Resources(10, 2, 50), job_class="soon", at=now))
         for name, machine in harness.inventory.machines.items():
             machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
@@ -241,12 +241,12 @@
     job = job_table.load(new_job_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    for index in job.next_waiting(3 * size):
+    for index in job.next_waiting_indexes(3 * size):
         job_table.start(job, index, machine, job.next_attempt_number(index), 0.0)
-    job.advance_first_waiting()
-    assert job.next_waiting(1) == [3 * size]
+    job.advance_first_waiting_index()
+    assert job.next_waiting_indexes(1) == [3 * size]
     assert max(len(str(encode_record(page.to_record()))) for page in job.pages.values()) < 4096 - 1000
     assert len(job.pages) == 3 + 1 or len(job.pages) == 3
     for attempt in list(job.attempts()):
-        job_table.attempt_completed(attempt)
-    assert (job.done_count, job.attempt_count, job.waiting) == (3 * size, 0, 100_000 - 3 * size)
+        job_table.record_attempt_completed(attempt)
+    assert (job.done_count, job.attempt_count, job.waiting_count) == (3 * size, 0, 100_000 - 3 * size)
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -13,7 +13,7 @@
         ({}, False),
         ({"team": "nobody"}, True),
         ({"resources": Resources(17, 1, 1)}, True),
-        ({"types": ("other",)}, True),
+        ({"machine_types": ("other",)}, True),
         ({"zone": "z"}, True),
         ({"tasks": 100}, False),
         ({"tasks": 9, "kind": JobKind.GANG}, True),
