--- a/src/passrock/core/__init__.py
+++ b/src/passrock/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions only: no sockets, files, timers or clocks."""
+"""Scheduling decisions and state, without I/O: no sockets, files, timers or clocks."""
--- a/src/passrock/core/capacity_forecast.py
+++ b/src/passrock/core/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""Estimates of how long it takes until a machine has enough free capacity for a task."""
+"""Estimates of the time until a machine has enough free capacity for a task."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from passrock.core.machine import Machine
 from passrock.core.model import JobKind, Resources
 
-OPEN_ENDED_RUN_S = (
-    3600.0  # for what ends at its user's request: services, and orphans, whose run time has no estimate
-)
+# Assumed for services, which end at their user's request, and for orphans, whose run time has no estimate.
+OPEN_ENDED_RUN_S = 3600.0
 
 
 class CapacityForecast:
-    """Seconds until capacity is free, by the job owners' estimates of run times.
+    """Estimates when capacity becomes free, from the job owners' estimates of run times.
 
-    Results are cached for one pass: gangs of one job class request the same resources of every machine.
+    Results are cached for a scheduling pass, since gangs of the same job class request the same resources of every
+    machine.
 
     Args:
-        job_table: what runs on the machines.
-        capacity: what is free now.
-        stop_latency_s: seconds until a stopped task without anything to save has freed its resources.
+        job_table: the attempts on the machines.
+        capacity: the resources that are free now.
+        stop_latency_s: seconds until a stopped task without a checkpoint to save has freed its resources.
     """
 
     def __init__(self, job_table: JobTable, capacity: FreeCapacity, stop_latency_s: float) -> None:
@@ -33,11 +33,11 @@
         self._seconds: dict[Resources, dict[str, float]] = {}
 
     def begin_pass(self) -> None:
-        """Drop the estimates of the last pass."""
+        """Clear the estimates of the last pass."""
         self._seconds = {}
 
     def seconds_until_free(self, machine: Machine, resources: Resources, now: float) -> float:
-        """Seconds until ``resources`` are likely to be free on the machine."""
+        """Return the estimated seconds until ``resources`` are free on the machine."""
         by_machine = self._seconds.setdefault(resources, {})
         seconds = by_machine.get(machine.name)
         if seconds is None:
@@ -57,7 +57,7 @@
         return OPEN_ENDED_RUN_S
 
     def _seconds_left(self, attempt: TaskAttempt, now: float) -> float:
-        """Seconds until the attempt is likely to end; at least as long as stopping it would take."""
+        """Return the estimated seconds until the attempt ends, which are no fewer than stopping it would take."""
         spec = attempt.job.spec
         if attempt.stop_grace_s is not None:
             return self.stop_latency_s
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity as one scheduling pass sees it: schedulable machines and the resources left on them."""
+"""Free capacity during a scheduling pass: schedulable machines and the resources left on them."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class FreeCapacity:
-    """Schedulable machines, less the tentative allocations of the present pass.
+    """Schedulable machines and their free resources, less the allocations of the present pass.
 
     Attributes:
         schedulable: machines that may take tasks.
-        with_capacity: those of them on which the smallest waiting task fits; only a few in a busy cluster.
+        with_capacity: schedulable machines on which the smallest waiting task fits; only a few in a busy cluster.
         zones: zones of the schedulable machines, in the order of the inventory.
-        machine_types: their types by name.
+        machine_types: types of the schedulable machines, by name.
     """
 
     def __init__(self, inventory: MachineInventory) -> None:
@@ -28,7 +28,7 @@
         self._free: dict[str, Resources] = {}
 
     def begin_pass(self, now: float) -> None:
-        """Drop the allocations of the last pass and find the machines that are schedulable now."""
+        """Clear the allocations of the last pass and find the machines that are schedulable now."""
         self._free = {}
         self.schedulable = []
         self.with_capacity = []
@@ -41,19 +41,19 @@
                 self.machine_types[machine.type.name] = machine.type
 
     def update_with_capacity(self, waiting: list[Job]) -> None:
-        """Restrict ``with_capacity`` to the machines on which at least the smallest waiting task fits."""
+        """Set ``with_capacity`` to the machines on which at least the smallest waiting task fits."""
         least = smallest_request(waiting)
         self.with_capacity = [machine for machine in self.schedulable if machine.has_capacity_for(least)]
 
     def free_on(self, machine: Machine) -> Resources:
-        """The resources that are free on the machine."""
+        """Return the resources that are free on the machine."""
         free = self._free.get(machine.name)
         if free is None:
             free = self._free[machine.name] = machine.free_capacity
         return free
 
     def allocate(self, machine: Machine, resources: Resources) -> None:
-        """Allocate resources on the machine for the rest of the pass, or until they are released."""
+        """Allocate resources on the machine until the end of the pass or until they are released."""
         self._free[machine.name] = self.free_on(machine) - resources
 
     def release(self, machine: Machine, resources: Resources) -> None:
@@ -61,11 +61,11 @@
         self._free[machine.name] = self.free_on(machine) + resources
 
     def zones_to_try(self, spec: JobSpec) -> list[str | None]:
-        """The zones to try for a job without tasks so far; None stands for all zones together."""
+        """Return the zones to try for a job without attempts; None stands for all zones together."""
         return list(self.zones) if spec.single_zone else [None]
 
     def longest_image_fetch_s(self, spec: JobSpec) -> float:
-        """Seconds to fetch the job's image on the slowest type of the schedulable machines."""
+        """Return the seconds to fetch the job's image on the slowest type of the schedulable machines."""
         return max(
             (image_fetch_time(spec, machine_type) for machine_type in self.machine_types.values()), default=0.0
         )
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -1,4 +1,4 @@
-"""Placement of gangs: all tasks of a gang start together, or none does."""
+"""Placement of gangs: either all tasks of a gang start together, or none of them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class GangShape(NamedTuple):
-    """The properties of a gang that decide, along with its number of tasks, where it fits."""
+    """The properties of a gang that decide, together with its number of tasks, where it fits."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -27,19 +27,19 @@
 
     @classmethod
     def of(cls, spec: JobSpec) -> GangShape:
-        """The shape of a gang."""
+        """Return the shape of a gang."""
         return cls(spec.resources, spec.machine_types, spec.zone, spec.allows_spot, spec.single_zone)
 
 
 class GangOption(NamedTuple):
-    """Machines for all tasks of a gang, in the order of its tasks, and their cost in seconds."""
+    """Machines for all tasks of a gang, in the order of its tasks, and the cost of placing it there."""
 
     cost_s: float
     machines: list[Machine]
 
 
 class GangPlacement:
-    """Places gangs, and holds machines for those that starve."""
+    """Places gangs, and has machines held for starving gangs."""
 
     def __init__(
         self,
@@ -56,14 +56,14 @@
         self.holds = holds
         self.scorer = scorer
         self.starvation_holds = starvation_holds
-        self._unschedulable_shapes: dict[GangShape, int] = {}  # each with the least number of tasks that didn't fit
+        self._unschedulable_shapes: dict[GangShape, int] = {}  # the least number of tasks that didn't fit
 
     def begin_pass(self) -> None:
-        """Drop what the last pass found."""
+        """Clear the results of the last pass."""
         self._unschedulable_shapes = {}
 
     def place(self, job: Job, now: float) -> list[TaskAttempt]:
-        """Start all tasks of the gang; returns their attempts, none when the gang doesn't fit."""
+        """Start all tasks of the gang and return their attempts; none when the gang doesn't fit."""
         spec = job.spec
         shape = GangShape.of(spec)
         unschedulable_size = self._unschedulable_shapes.get(shape)
@@ -89,7 +89,7 @@
         return best
 
     def _option_in(self, zone: str | None, job: Job, now: float) -> GangOption | None:
-        """The cheapest machines in a zone; the gang starts when the last of them has fetched the image."""
+        """Return the cheapest machines in a zone; the gang starts once the slowest of them has the image."""
         spec = job.spec
         machines: list[Machine] = []
         longest_fetch = total_cost = 0.0
@@ -113,6 +113,6 @@
         for index, machine in enumerate(machines):
             self.capacity.allocate(machine, job.spec.resources)
             self.holds.release(machine.name)
-            started.append(self.job_table.start(job, index, machine, attempt_number, now))
+            started.append(self.job_table.add_attempt(job, index, machine, attempt_number, now))
         job.advance_first_waiting_index()
         return started
--- a/src/passrock/core/graceful_stop.py
+++ b/src/passrock/core/graceful_stop.py
@@ -1,4 +1,4 @@
-"""Stopping tasks gracefully: with time to save a checkpoint, and all members of a gang together."""
+"""Graceful stop of tasks: with time to save a checkpoint, and together with all members of a gang."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 
 def stop_gracefully(attempt: TaskAttempt, min_grace_s: float) -> None:
-    """Ask a task to end, unless it was asked before.
+    """Request that an attempt stops, unless this was requested before.
 
     Args:
         attempt: the attempt to stop.
-        min_grace_s: the least time in seconds for a running task with checkpoints to save; others get none.
+        min_grace_s: the least time, in seconds, that a running task with checkpoints gets to save; other tasks get
+            no time.
     """
     if attempt.stop_grace_s is None:
         save_s = max(min_grace_s, attempt.job.spec.checkpoint_save_s)
@@ -19,7 +20,7 @@
 
 
 def drain_machine(job_table: JobTable, machine_name: str) -> None:
-    """Ask all tasks on a machine, and all other members of their gangs, to save and end."""
+    """Request that all attempts on a machine, and all other members of their gangs, save and stop."""
     for attempt in list(job_table.attempts_on(machine_name)):
         for member in attempt.gang_attempts():
             stop_gracefully(member, member.job.spec.checkpoint_save_s)
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -1,4 +1,4 @@
-"""A job with its tasks: which have completed, which have an attempt on a machine, and which wait for one."""
+"""An unfinished job and the state of its tasks: completed, with an attempt on a machine, or waiting for one."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 from passrock.core.model import JobKind, JobSpec, Resources
 from passrock.core.records import AttemptRecord, TaskPageRecord
 
-TaskKey = tuple[str, int]  # a job's id and the index of a task in it
-UNKNOWN_ZONE = "?"  # stands for the zone of a machine that the inventory doesn't list (yet)
+TaskKey = tuple[str, int]  # job id and the index of the task in the job
+UNKNOWN_ZONE = "?"  # the zone of a machine that the inventory doesn't contain (yet)
 
 
 class TaskAttempt(msgspec.Struct):
     """An attempt of a task that is, or may be, on a machine.
 
     Attributes:
-        index: of the task in its job.
-        number: counts the attempts of the task, and of a gang as a whole.
+        job: the job of the task.
+        index: the index of the task in the job.
+        number: increases with each attempt of the task; the same for all tasks of a gang.
         machine: the name of the machine.
-        incarnation: that of the machine's worker when the attempt was placed.
-        page_version: the version of the page from which on its record names this attempt.
+        incarnation: the incarnation of the machine's worker when the attempt was placed.
+        page_version: the first version of the task's page whose record names this attempt.
         placed_this_term: False when the attempt was loaded from a record of an earlier leader.
-        launch_sequence: the sequence number of the heartbeat whose answer last carried the launch, if any did.
+        launch_sequence: the sequence number of the heartbeat whose answer last carried the launch; None if no
+            answer has carried it in this term.
         reported: whether a heartbeat has listed the attempt since it was last launched.
-        state: as of the last heartbeat that listed it.
-        stop_grace_s: set once the attempt has to stop: the seconds that it gets to save its work.
-        running_since: monotonic; when a heartbeat of this term first listed it as running.
-        placed_at: monotonic.
+        state: the task's state in the last heartbeat that listed the attempt.
+        stop_grace_s: the seconds that the attempt gets to save its work; None unless it has to stop.
+        running_since: the monotonic time at which a heartbeat of this term first listed the attempt as running.
+        placed_at: the monotonic time of the placement.
     """
 
     job: Job
@@ -50,17 +52,17 @@
 
     @property
     def key(self) -> TaskKey:
-        """Which task this is an attempt of."""
+        """The job id and index of the task."""
         return self.job.spec.id, self.index
 
     @property
     def is_unlaunched(self) -> bool:
-        """Whether no answer has carried the attempt's launch yet: it can't be anywhere."""
+        """Whether no answer has carried the attempt's launch yet, so that no worker can have started it."""
         return self.placed_this_term and self.launch_sequence is None and not self.reported
 
     @property
     def is_committed(self) -> bool:
-        """Whether the record that names this attempt is committed; only then it may be launched."""
+        """Whether the record that names this attempt is committed; it may not be launched before."""
         return self.job.page(self.index).committed_version >= self.page_version
 
     @property
@@ -69,22 +71,22 @@
         return self.job.spec.checkpoint_interval_s > 0 and self.state is TaskState.RUNNING
 
     def gang_attempts(self) -> list[TaskAttempt]:
-        """The attempts that stop and complete together with this one: its whole gang, or itself."""
+        """Return the attempts that stop and complete together with this one: those of its gang, or only itself."""
         return list(self.job.attempts()) if self.job.spec.kind is JobKind.GANG else [self]
 
 
 class TaskPage(msgspec.Struct):
-    """The tasks of a job that one record holds.
+    """The part of a job's tasks that is stored in one record.
 
     Attributes:
         first: the index of the page's first task in the job.
-        size: how many tasks it holds.
+        size: the number of tasks on the page.
         attempt_number: the highest number of any attempt on this page.
-        completed: a bitmap of the tasks that have completed.
-        attempts: by the index of their task in the job.
-        mod_revision: the store's revision of the record, for compare-and-swap; 0 while there is none.
-        version: counts the changes in memory.
-        committed_version: the version that the committed record holds.
+        completed: a bitmap of the completed tasks; bit 0 stands for the page's first task.
+        attempts: the attempts by the index of their task in the job.
+        mod_revision: the store's revision of the record, for compare-and-swap; 0 while there is no record.
+        version: the number of changes in memory.
+        committed_version: the version that the committed record contains.
     """
 
     first: int
@@ -97,7 +99,7 @@
     committed_version: int = 0
 
     def to_record(self) -> TaskPageRecord:
-        """The stored form."""
+        """Return the record in which the page is stored."""
         attempts = {
             index: AttemptRecord(attempt.number, attempt.machine, attempt.incarnation)
             for index, attempt in self.attempts.items()
@@ -106,29 +108,39 @@
 
 
 class Job:
-    """An unfinished job as the leader knows it; times are monotonic, in seconds, unless stated otherwise."""
+    """The leader's state of an unfinished job; times are monotonic, in seconds, unless stated otherwise.
+
+    Attributes:
+        submitted_at: wall-clock time in seconds since the epoch.
+        page_size: the number of tasks on a page; the last page may have fewer.
+        cancelled_at: a lower bound of the time at which the cancellation was confirmed to the user; infinite while
+            the job is not cancelled.
+        final_status: the status in the final record; None until this record is committed.
+        first_waiting_index: no task with a lower index waits, apart from the requeued tasks.
+        requeued: indexes of the tasks that wait again because their attempt was lost.
+        avoided_machines: names of the machines on which a task of the job has failed.
+    """
 
     def __init__(self, spec: JobSpec, submitted_at: float, page_size: int, submitted_at_monotonic: float) -> None:
-        """``submitted_at`` is the time of day, in seconds since the epoch."""
         self.spec = spec
         self.submitted_at = submitted_at
         self.submitted_at_monotonic = submitted_at_monotonic
         self.page_size = page_size
         self.pages: dict[int, TaskPage] = {}
         self.cancelled = False
-        self.cancelled_at = math.inf  # no later than the cancellation was confirmed to the user
-        self.final_status: str | None = None  # once committed
+        self.cancelled_at = math.inf
+        self.final_status: str | None = None
         self.done_count = 0
         self.attempt_count = 0
-        self.first_waiting_index = 0  # no task with a lower index waits, apart from the requeued ones
-        self.requeued: set[int] = set()  # tasks that wait again after their attempt was lost
+        self.first_waiting_index = 0
+        self.requeued: set[int] = set()
         self.retry_not_before = 0.0
         self.consecutive_failures = 0
-        self.avoided_machines: set[str] = set()  # names of those on which a task of the job has failed
+        self.avoided_machines: set[str] = set()
         self.waiting_since = submitted_at_monotonic
 
     def page(self, index: int) -> TaskPage:
-        """The page with this task; created on first access."""
+        """Return the page with this task; it is created on first access."""
         number = index // self.page_size
         page = self.pages.get(number)
         if page is None:
@@ -144,11 +156,11 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether the job itself seems faulty: it failed on several machines, and none of its tasks has completed."""
+        """Whether the job itself seems faulty: tasks failed on several machines and none has completed."""
         return len(self.avoided_machines) > 1 and self.done_count == 0
 
     def attempts(self) -> Iterator[TaskAttempt]:
-        """All attempts that are or may be on machines."""
+        """Iterate over all attempts that are or may be on machines."""
         for page in self.pages.values():
             yield from page.attempts.values()
 
@@ -159,11 +171,11 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many tasks are neither done nor placed."""
+        """The number of tasks that have neither completed nor an attempt."""
         return self.spec.tasks - self.done_count - self.attempt_count
 
     def next_waiting_indexes(self, limit: int) -> list[int]:
-        """Up to ``limit`` tasks to place, requeued ones first; the job is not changed."""
+        """Return the indexes of up to ``limit`` tasks to place, requeued tasks first; the job is not changed."""
         waiting = sorted(self.requeued)[:limit]
         index = self.first_waiting_index
         while index < self.spec.tasks and len(waiting) < limit:
@@ -173,7 +185,7 @@
         return waiting
 
     def advance_first_waiting_index(self) -> None:
-        """Skip tasks that are done or placed, so that a large array isn't searched from its start each time."""
+        """Advance past tasks that don't wait, so that a large array isn't searched from its start each time."""
         while self.first_waiting_index < self.spec.tasks and (
             self.is_done(self.first_waiting_index)
             or self.has_attempt(self.first_waiting_index)
@@ -182,13 +194,13 @@
             self.first_waiting_index += 1
 
     def next_attempt_number(self, index: int) -> int:
-        """The number of the next attempt; one for all tasks of a gang."""
+        """Return the number of the task's next attempt; all tasks of a gang have the same."""
         if self.spec.kind is JobKind.GANG:
             return max((page.attempt_number for page in self.pages.values()), default=0) + 1
         return self.page(index).attempt_number + 1
 
     def zone_counts(self, inventory: MachineInventory) -> dict[str, int]:
-        """How many tasks are or may be in each zone."""
+        """Return the number of attempts by zone of their machine."""
         counts: dict[str, int] = {}
         for attempt in self.attempts():
             machine = inventory.machines.get(attempt.machine)
@@ -198,7 +210,7 @@
 
 
 def smallest_request(jobs: list[Job]) -> Resources:
-    """The least of each resource that a task of any of the jobs requests."""
+    """Return, for each resource by itself, the least amount that a task of any of the jobs requests."""
     requests = [job.spec.resources for job in jobs]
     return Resources(
         min((request.cpus for request in requests), default=0.0),
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -1,4 +1,4 @@
-"""Order of waiting jobs, and the rank by which one job may preempt another."""
+"""The order in which waiting jobs are placed, and the rank by which a job may preempt another."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class DispatchOverrides(msgspec.Struct):
-    """Ids of jobs that fair admission treats apart, so that no class of jobs starves.
+    """Jobs to which fair admission gives precedence, so that no class of jobs starves.
 
     Attributes:
-        prioritized: jobs that go before all others.
-        protected_from_preemption: jobs that are not preempted, whatever their rank.
+        prioritized: ids of the jobs that are placed before all others.
+        protected_from_preemption: ids of the jobs that are not preempted, whatever their rank.
     """
 
     prioritized: frozenset[str] = frozenset()
@@ -28,8 +28,9 @@
 class JobRank(NamedTuple):
     """A job's rank for preemption: production first, then guaranteed jobs, then by priority.
 
-    Only a job of strictly higher rank preempts another. When guarantees were judged by what was running at the
-    moment, teams preempted each other on the same machines again and again.
+    Only a job of strictly higher rank preempts another. ``is_guaranteed`` depends on the demand of the team's
+    unfinished jobs: when it depended on the tasks that were running at the moment, teams preempted each other on the
+    same machines again and again.
     """
 
     is_production: bool
@@ -38,14 +39,20 @@
 
 
 class QueuePosition(NamedTuple):
-    """Sort key of a waiting job; the lowest is placed first.
+    """Sort key of a waiting job; the job with the lowest key is placed first.
+
+    Each ``behind_...`` field is False for the jobs of a group and True for all others, so that the group goes first.
 
     Attributes:
-        behind_objectives: whether the job has no objective left that it can still meet: such jobs come after the
-            others, oldest first.
-        place_by: monotonic time; the start of the wait for a starving job, the latest start for one with an
-            objective, otherwise the submission.
-        submitted: monotonic time.
+        behind_prioritized: False for jobs that fair admission has prioritized.
+        behind_production: False for production jobs.
+        behind_starving: False for starving jobs.
+        behind_guaranteed: False for guaranteed and for starving jobs.
+        behind_objectives: False for starving jobs and for jobs that can still meet an objective; the others follow,
+            oldest first.
+        place_by: monotonic time; for a starving job the start of its wait, for a job with an objective its latest
+            start, otherwise the submission.
+        submitted_at: monotonic time.
     """
 
     behind_prioritized: bool
@@ -58,7 +65,11 @@
 
 
 class JobQueue:
-    """Ranks all jobs and orders the waiting ones."""
+    """Ranks all jobs and orders the waiting jobs.
+
+    Attributes:
+        guaranteed: ids of the jobs that fit into their team's guarantee, as of the last update.
+    """
 
     def __init__(
         self,
@@ -75,12 +86,10 @@
         self.overrides = overrides
         self.guaranteed: set[str] = set()
         self._ranks: dict[str, JobRank] = {}
-        self._ranked_demand_version: int | None = (
-            None  # of the demand that ``guaranteed`` and the ranks were found for
-        )
+        self._ranked_demand_version: int | None = None  # for which ``guaranteed`` and the ranks hold
 
     def update_guaranteed_jobs(self) -> None:
-        """Find the jobs that fit into their team's guarantee along with all its earlier unfinished jobs."""
+        """Find the jobs that fit into their team's guarantee together with all its earlier unfinished jobs."""
         if self._ranked_demand_version == self.job_table.demand_version:
             return
         self._ranked_demand_version = self.job_table.demand_version
@@ -97,15 +106,15 @@
                 self.guaranteed.add(job.spec.id)
 
     def is_guaranteed(self, job: Job) -> bool:
-        """Whether the job fits into its team's guarantee."""
+        """Whether the job fits into its team's guarantee, as of the last update."""
         return job.spec.id in self.guaranteed
 
     def is_prioritized(self, job: Job) -> bool:
-        """Whether fair admission lets the job go before all others."""
+        """Whether fair admission has the job placed before all others."""
         return job.spec.id in self.overrides.prioritized
 
     def rank(self, job: Job) -> JobRank:
-        """The job's rank for preemption."""
+        """Return the job's rank for preemption."""
         spec = job.spec
         rank = self._ranks.get(spec.id)
         if rank is None:
@@ -113,10 +122,10 @@
             self._ranks[spec.id] = rank
         return rank
 
-    def ordered(self, now: float) -> list[Job]:
-        """Jobs with tasks that may be placed now, most urgent first.
+    def ready_jobs(self, now: float) -> list[Job]:
+        """Return the jobs with tasks that may be placed now, most urgent first.
 
-        A gang waits until all tasks of its last attempt have ended.
+        A gang is left out until all tasks of its last attempt have ended.
         """
         ready = [
             job
@@ -134,7 +143,7 @@
         behind_prioritized = not self.is_prioritized(job)
         behind_production = not rank.is_production
         if self.objectives.is_starving(job, now):
-            # longest wait first; otherwise those that have missed all objectives would wait for ever
+            # The longest wait goes first; otherwise jobs that have missed all their objectives might wait for ever.
             return QueuePosition(
                 behind_prioritized,
                 behind_production,
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -1,4 +1,4 @@
-"""All unfinished jobs of one leader's term: attempts by machine, resource usage by team, and uncommitted records."""
+"""The job table: all unfinished jobs of a leader's term, their attempts by machine, and uncommitted records."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 
 class JobTable:
-    """The leader's working copy of the job records; every change of what is stored marks its record uncommitted.
+    """The leader's working copy of the job records; a change of stored state marks the record as uncommitted.
 
     Attributes:
-        attempts_by_machine: machines without attempts have no entry.
-        usage: the resources of each team's attempts.
-        demand_version: counts the changes of what jobs still ask for.
-        uncommitted: job ids and page numbers of records to be written, oldest change first.
-        finalizing: ids of jobs that are over and whose final record has to be written.
-        cancelled: cancelled jobs that aren't removed yet; their tasks may still be on machines.
+        page_size: the number of tasks on a page.
+        jobs: the unfinished jobs by id.
+        attempts_by_machine: the attempts by machine name and task; machines without attempts have no entry.
+        usage: the resources that the attempts of each team request.
+        demand_version: increases with each change of the set of uncompleted tasks.
+        uncommitted: job ids and page numbers of the records to write, oldest change first.
+        finalizing: ids of the completed or cancelled jobs whose final record has to be written.
+        cancelled: the cancelled jobs that are not removed yet, by id; their tasks may still be on machines.
     """
 
     def __init__(self, page_size: int) -> None:
@@ -37,8 +39,8 @@
     def load(self, record: JobRecord, mod_revision: int, now: float, time_of_day: float) -> Job:
         """Load a job from its record.
 
-        The job's age comes from the time of day at its submission. Counted from when this leader learned of
-        the job, the age of every waiting job would start anew at each failover.
+        The age of the job is computed from the wall-clock time of its submission. If it were counted from the
+        time of loading, the age of every waiting job would restart at each failover.
         """
         spec = record.spec.to_spec()
         age = max(0.0, time_of_day - record.submitted_at)
@@ -64,7 +66,7 @@
             self._track(attempt)
 
     def finish_loading(self, job: Job) -> None:
-        """Check a job after all its pages are loaded: a gang of which some tasks have no attempt is stopped."""
+        """Stop a gang of which some tasks have no attempt; called once all pages of the job are loaded."""
         if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self._stop_gang(job)
         self._finalize_if_over(job)
@@ -72,11 +74,11 @@
     # -- queries ----------------------------------------------------------------------------
 
     def attempts_on(self, machine: str) -> ValuesView[TaskAttempt]:
-        """The attempts that are or may be on a machine; copy them before changing any."""
+        """Return a view of the attempts that are or may be on a machine; copy it before attempts start or end."""
         return self.attempts_by_machine.get(machine, {}).values()
 
     def is_task_committed(self, job_id: str, index: int) -> bool:
-        """Whether all that is known of this task is committed, so that a worker may forget it."""
+        """Whether every change of the task's page is committed, so that a worker may drop an exited task."""
         job = self.jobs.get(job_id)
         if job is None:
             return True
@@ -84,14 +86,14 @@
         return page is None or page.committed_version >= page.version
 
     def failed_job_count(self, machine: Machine) -> int:
-        """How many unfinished jobs have failed on a machine and don't seem faulty themselves."""
+        """Return how many unfinished jobs have failed on a machine, without those that seem faulty themselves."""
         failed = [self.jobs[job_id] for job_id in machine.failed_jobs if job_id in self.jobs]
         return sum(not job.is_suspect for job in failed)
 
     # -- changes of attempts ----------------------------------------------------------------
 
-    def start(self, job: Job, index: int, machine: Machine, attempt_number: int, now: float) -> TaskAttempt:
-        """Record a new attempt; it may be launched once its record is committed."""
+    def add_attempt(self, job: Job, index: int, machine: Machine, attempt_number: int, now: float) -> TaskAttempt:
+        """Add an attempt of a task; it may be launched once its record is committed."""
         page = job.page(index)
         page.attempt_number = max(page.attempt_number, attempt_number)
         self._mark_uncommitted(job, page)
@@ -108,9 +110,9 @@
         return attempt
 
     def record_attempt_lost(self, attempt: TaskAttempt, now: float) -> None:
-        """Record that an attempt is proved to be on no machine any more: its task waits again.
+        """Record that an attempt is proved to be on no machine any more, so that its task waits again.
 
-        A gang that lost a task can't continue, hence its other tasks are stopped.
+        A gang can't continue without one of its tasks, hence the other tasks are stopped.
         """
         job = attempt.job
         page = job.page(attempt.index)
@@ -127,7 +129,7 @@
         self._finalize_if_over(job)
 
     def record_attempt_completed(self, attempt: TaskAttempt) -> None:
-        """Record that a task has completed; all tasks of a gang complete with the first of them."""
+        """Record that a task has completed; a gang as a whole is complete once the first of its tasks is."""
         job = attempt.job
         for ended in attempt.gang_attempts():
             del job.page(ended.index).attempts[ended.index]
@@ -138,16 +140,16 @@
         self._finalize_if_over(job)
 
     def record_lease_expired(self, machine: str, now: float) -> int:
-        """Record that the lease of the machine's worker has expired; returns how many attempts were lost.
+        """Record that the lease of the machine's worker has expired, and return the number of lost attempts.
 
-        The tasks have ended, or end when the worker resumes if it hangs. Those of cancelled jobs stay recorded until
-        a heartbeat or a deletion proves that they have ended: the time within which they have to end passes while
-        a machine hangs, also for the next leader, which knows of them by these records alone.
+        The tasks have ended, or end when a hung worker resumes. Attempts of cancelled jobs stay recorded until a
+        heartbeat or the deletion of the machine proves that they have ended: the time within which these tasks have
+        to end also passes while the machine hangs, and a next leader finds them by these records alone.
         """
         return self._lose_all([attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled], now)
 
     def record_machine_lost(self, machine: str, now: float) -> int:
-        """Record that the machine no longer exists; returns how many attempts were lost with it."""
+        """Record that the machine no longer exists, and return the number of lost attempts."""
         return self._lose_all(list(self.attempts_on(machine)), now)
 
     def _lose_all(self, attempts: list[TaskAttempt], now: float) -> int:
@@ -156,7 +158,7 @@
         return len(attempts)
 
     def recompute_usage(self, machine: Machine, now: float) -> None:
-        """Update what is used on a machine, and since when it is idle."""
+        """Recompute the resources in use on a machine from its attempts, and the start of its idle time."""
         used = ZERO_RESOURCES
         attempts = self.attempts_by_machine.get(machine.name, {})
         for attempt in attempts.values():
@@ -170,7 +172,7 @@
     # -- changes of jobs --------------------------------------------------------------------
 
     def cancel(self, job: Job, confirmed_at: float) -> None:
-        """Cancel a job; its user received the confirmation at ``confirmed_at`` (monotonic) or later."""
+        """Cancel a job whose cancellation was confirmed to its user at ``confirmed_at`` (monotonic) or later."""
         job.cancelled = True
         self.demand_version += 1
         self.cancelled[job.spec.id] = job
@@ -191,7 +193,7 @@
             self.uncommitted.pop((job.spec.id, number), None)
 
     def _stop_gang(self, job: Job) -> None:
-        """Stop the remaining tasks of a gang: all have to end before its next attempt."""
+        """Stop the remaining tasks of a gang, all of which have to end before its next attempt."""
         for attempt in list(job.attempts()):
             if attempt.stop_grace_s is None:
                 attempt.stop_grace_s = 0.0
--- a/src/passrock/core/machine_holds.py
+++ b/src/passrock/core/machine_holds.py
@@ -1,4 +1,4 @@
-"""Machine holds: machines kept for one waiting job."""
+"""Machine holds: machines that are kept free for a particular waiting job."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class MachineHold(msgspec.Struct, frozen=True):
-    """A machine that takes no tasks but those of one job.
+    """Restricts a machine to the tasks of one job.
 
-    Either tasks are being preempted there for the job, or the job has waited too long and would never find
-    all its machines free at the same time.
+    Either tasks on the machine are being preempted for the job, or the job is starving and would never find all the
+    machines that it needs free at the same time.
     """
 
     job_id: str
@@ -20,7 +20,7 @@
 
 
 class MachineHolds:
-    """The holds by machine; each expires unless it is renewed."""
+    """The holds by machine name; each expires unless it is renewed."""
 
     def __init__(self) -> None:
         self.by_machine: dict[str, MachineHold] = {}
@@ -29,19 +29,19 @@
         return len(self.by_machine)
 
     def expire(self, now: float) -> None:
-        """Drop the holds that have ended."""
+        """Remove the holds that have expired."""
         self.by_machine = {name: hold for name, hold in self.by_machine.items() if hold.expires_at > now}
 
     def hold(self, machine: Machine, job: Job, expires_at: float) -> None:
-        """Hold a machine for a job; replaces an earlier hold."""
+        """Hold a machine for a job, which replaces an earlier hold of the machine."""
         self.by_machine[machine.name] = MachineHold(job.spec.id, expires_at)
 
     def release(self, machine_name: str) -> None:
-        """End the hold of a machine, if there is one."""
+        """Remove the hold of a machine, if there is one."""
         self.by_machine.pop(machine_name, None)
 
     def allows(self, job: Job, machine: Machine) -> bool:
-        """Whether the machine isn't held for another job."""
+        """Whether the job may use the machine, which is not so while it is held for another job."""
         hold = self.by_machine.get(machine.name)
         return hold is None or hold.job_id == job.spec.id
 
@@ -50,5 +50,5 @@
         return any(hold.job_id == job.spec.id for hold in self.by_machine.values())
 
     def machines_of(self, job: Job) -> set[str]:
-        """Names of the machines held for the job."""
+        """Return the names of the machines that are held for the job."""
         return {name for name, hold in self.by_machine.items() if hold.job_id == job.spec.id}
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -1,4 +1,4 @@
-"""Which machines a job's tasks may use, and what placing a task on each of them costs."""
+"""Candidate machines for a job's tasks, and the cost of placing a task on each of them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from passrock.core.model import JobKind, JobSpec
 from passrock.core.objectives import ServiceLevelObjectives
 
-# Costs are in seconds, so that they can be weighed against the wait for an image.
-FREE_SHARE_COST_S = 15.0  # times the share of the machine that stays free: bin packing
-OTHER_RESERVATION_COST_S = 4.0  # the machine is assigned to another team
-ON_DEMAND_COST_S = 40.0  # an on-demand machine for a job that may use spot instances
-FRAGMENTATION_COST_S = 40.0  # times the share that stays free next to a replica, for as long as that runs
-AVOIDED_MACHINE_COST_S = 1000.0  # the job has failed on this machine
+# Costs are in seconds, so that they can be compared with the time to fetch an image.
+FREE_SHARE_COST_S = 15.0  # times the share of the machine that stays free, for bin packing
+OTHER_RESERVATION_COST_S = 4.0  # for a machine that is assigned to another team
+ON_DEMAND_COST_S = 40.0  # for an on-demand machine if the job may use spot instances
+FRAGMENTATION_COST_S = 40.0  # times the share that a replica leaves free on an empty machine for as long as it runs
+AVOIDED_MACHINE_COST_S = 1000.0  # for a machine on which a task of the job has failed
 
-# Cost, name of the machine (which decides between equal costs), machine; ordered by heapq.
+# Cost in seconds, machine name (the tie-breaker) and machine, in the order in which heapq compares them.
 Candidate = tuple[float, str, Machine]
 
 
@@ -41,7 +41,7 @@
         self.holds = holds
 
     def cost(self, job: Job, machine: Machine) -> float:
-        """The cost in seconds of placing a task of the job on the machine."""
+        """Return the cost, in seconds, of placing a task of the job on the machine."""
         spec = job.spec
         free_share = (self.capacity.free_on(machine) - spec.resources).dominant_share(machine.type.size)
         interference = machine.image_fetch_interference(spec)
@@ -54,19 +54,19 @@
         if machine.name in job.avoided_machines:
             cost += AVOIDED_MACHINE_COST_S
         if spec.kind is JobKind.SERVICE:
-            # Replicas run for long: spread over empty machines they fragment each of them. What is left there is of
-            # no use to gangs that need entire machines, and is paid for until the last replica ends. But next to a
-            # replica that is still fetching another image, both would start late.
+            # Replicas run for long, and spread over empty machines they fragment each of these: the remaining
+            # capacity is of no use to gangs that need entire machines, and is paid for until the last replica ends.
+            # But if another image is still being fetched on an occupied machine, both tasks would start late.
             occupied = self.job_table.attempts_by_machine.get(machine.name)
             cost += interference if occupied else FRAGMENTATION_COST_S * free_share
         return cost
 
     def candidates(self, job: Job, zone: str | None, now: float) -> list[Machine]:
-        """Machines with free capacity that the job may use, in one zone or in all (None).
+        """Return the machines with free capacity that the job may use, in a zone or in all zones (None).
 
-        An array that may use spot instances leaves on-demand machines to jobs that may not, as long as its
-        objectives leave it time: arrays used to occupy them for minutes, and gangs waited although spot instances
-        were free.
+        An array that may use spot instances leaves on-demand machines to other jobs as long as its objectives
+        allow it to wait: otherwise arrays occupied on-demand machines for minutes, and gangs that may not use spot
+        instances waited although spot instances were free.
         """
         spec = job.spec
         prefers_spot = may_wait_for_spot(spec)
@@ -85,17 +85,17 @@
         ]
 
     def candidate_heap(self, job: Job, zone: str | None, now: float) -> list[Candidate]:
-        """The candidates as a heap by cost; placing a task changes the cost of its own machine only."""
+        """Return the candidates as a heap by cost; placing a task changes only the cost of the task's machine."""
         heap = [(self.cost(job, machine), machine.name, machine) for machine in self.candidates(job, zone, now)]
         heapify(heap)
         return heap
 
     def push_back(self, heap: list[Candidate], job: Job, machine: Machine) -> None:
-        """Put a machine back on the heap after a task was placed on it, if one more fits."""
+        """Return a machine to the heap after a task was placed on it, if another task of the job fits."""
         if job.spec.resources.fits(self.capacity.free_on(machine)):
             heappush(heap, (self.cost(job, machine), machine.name, machine))
 
 
 def may_wait_for_spot(spec: JobSpec) -> bool:
-    """Whether a job's tasks can wait for spot instances one by one, as far as its objectives leave it time."""
+    """Whether a job's tasks may individually wait for spot instances, as far as its objectives allow."""
     return spec.allows_spot and spec.kind is JobKind.ARRAY
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -1,4 +1,4 @@
-"""The types that all modules share: resources, teams, machine types and job specifications."""
+"""Types that all modules share: resources, teams, machine types and job specifications."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-EPSILON = 1e-6  # sums of amounts of resources may differ by rounding errors
+EPSILON = 1e-6  # tolerance for rounding errors in sums of resources
 
 
 class JobKind(StrEnum):
-    """How the tasks of a job relate: independent ones, a gang, or replicas of a service."""
+    """Kind of a job, by its tasks: independent tasks, a gang, or replicas of a service."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -18,7 +18,7 @@
 
 
 class Priority(IntEnum):
-    """Priority class of a job; a higher one may preempt a lower one."""
+    """Priority class of a job; jobs of a higher class may preempt those of a lower class."""
 
     LOW = 0
     NORMAL = 1
@@ -27,7 +27,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """What a task requests or a machine offers, memory in GB; created in large numbers, hence without cyclic GC."""
+    """Resources of a task or a machine, memory in GB; created in large numbers, hence untracked by the cyclic GC."""
 
     cpus: float
     gpus: float
@@ -40,7 +40,7 @@
         return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.memory - other.memory)
 
     def scaled(self, count: float) -> Resources:
-        """The amount that ``count`` of these take together."""
+        """Return ``count`` times this amount."""
         return Resources(self.cpus * count, self.gpus * count, self.memory * count)
 
     def fits(self, capacity: Resources) -> bool:
@@ -52,7 +52,7 @@
         )
 
     def fit_count(self, capacity: Resources, limit: int) -> int:
-        """How many times this amount fits into ``capacity``, up to ``limit``."""
+        """Return how many times this amount fits into ``capacity``, up to ``limit``."""
         counts = [
             int((available + EPSILON) / requested)
             for requested, available in (
@@ -65,7 +65,7 @@
         return max(0, min([limit, *counts]))
 
     def dominant_share(self, total: Resources) -> float:
-        """The largest share that this amount takes of any resource of ``total`` (dominant resource fairness)."""
+        """Return the largest share of any resource of ``total`` in this amount (dominant resource fairness)."""
         shares = [
             requested / available
             for requested, available in (
@@ -82,7 +82,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team with its guaranteed capacity and its quota (``*_max``), in CPUs and GPUs; 0 stands for none."""
+    """A team with its guarantee and its quota (``max_*``), in CPUs and GPUs; 0 means no guarantee or no limit."""
 
     name: str
     guaranteed_cpus: float
@@ -113,7 +113,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A machine type that the cloud offers: prices per hour, rates in GB per second, times in seconds."""
+    """A machine type that the cloud offers; prices are per hour, times in seconds."""
 
     name: str
     size: Resources
@@ -125,14 +125,14 @@
     zones: tuple[str, ...]
 
     def price_for(self, *, spot: bool) -> float:
-        """The price per hour of a spot instance or an on-demand machine."""
+        """Return the price per hour of a spot instance or of an on-demand machine."""
         return self.spot_price if spot else self.price
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """What a user submitted; never changes.
+    """The specification of a job as submitted by the user; it never changes.
 
-    Memory and image sizes are in GB; ``deadline_s`` counts from the submission.
+    Memory and image sizes are in GB; ``deadline_s`` is relative to the submission.
     """
 
     id: str
@@ -155,7 +155,7 @@
     deadline_s: float | None
 
     def allows(self, type_name: str, zone: str, *, spot: bool) -> bool:
-        """Whether the job may use machines of this type in this zone, spot instances or on-demand ones."""
+        """Whether the job may use spot instances, or on-demand machines, of this type in this zone."""
         return (
             (self.machine_types is None or type_name in self.machine_types)
             and (self.zone is None or self.zone == zone)
@@ -163,5 +163,5 @@
         )
 
     def max_tasks_per_zone(self) -> int:
-        """The most tasks that may be in one zone: half of them, rounded up, when they have to be spread."""
+        """Return how many tasks may be in the same zone: half of them, rounded up, if they have to be spread."""
         return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -1,4 +1,4 @@
-"""Service-level objectives of job classes, and by when a waiting job has to be placed to meet them."""
+"""Service-level objectives of job classes, and the time by which a waiting job has to be placed to meet them."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 from passrock.core.job import Job
 from passrock.core.model import JobSpec, MachineType
 
-# Times the provisioning time of a machine: with no more than this left, a job can't wait for a spot instance.
+# A job whose latest start is no further away than this multiple of a machine's provisioning time can't wait for a
+# spot instance.
 PROVISIONING_MARGIN_RATIO = 1.5
-# Times the owner's estimate of the run time, which is often too low, where a job has to end in time.
+# Multiplies the owner's estimate of the run time, which is often too low, where a job has to finish in time.
 RUN_TIME_MARGIN_RATIO = 1.3
 
 
@@ -17,11 +18,11 @@
     """A service-level objective of the platform.
 
     Attributes:
-        kind: "wait" for starting, "finished" for finishing, "guarantee" for starting within a team's guarantee;
-            others don't affect scheduling.
-        job_class: the class of jobs that it applies to; unused for "guarantee".
-        within_s: seconds from the submission.
-        share: the part of the jobs that has to meet it.
+        kind: "wait" limits the time to the start, "finished" the time to the end, and "guarantee" the time to the
+            start of a job within its team's guarantee; other kinds don't affect scheduling.
+        job_class: the job class to which the objective applies; unused for "guarantee".
+        within_s: the limit, in seconds from the submission.
+        share: the share of the jobs that have to meet the objective.
     """
 
     kind: str
@@ -31,11 +32,11 @@
 
 
 class ServiceLevelObjectives:
-    """The objectives by job class.
+    """The objectives of the platform by job class.
 
     Args:
-        objectives: those of the platform.
-        starvation_threshold_s: the wait after which a job counts as starving.
+        objectives: all objectives of the platform.
+        starvation_threshold_s: the wait after which a job without attempts is starving.
     """
 
     def __init__(self, objectives: tuple[Objective, ...], starvation_threshold_s: float) -> None:
@@ -59,10 +60,11 @@
     def latest_start(
         self, job: Job, now: float, *, guaranteed: bool = False, image_fetch_s: float = 0.0
     ) -> float | None:
-        """The time by which the job has to be placed for the next objective that it can still meet.
+        """Return the time by which the job has to be placed to meet its next objective.
 
-        A job that has missed an objective no longer competes for it with those that can still meet it. The
-        image fetch counts: an objective that the job can't meet because of it counts as missed.
+        The next objective is the first that the job can still meet: a job that has missed an objective no longer
+        competes for it with jobs that can still meet it. An objective that the job can't meet because of the image
+        fetch counts as missed.
 
         Args:
             job: the waiting job.
@@ -71,7 +73,7 @@
             image_fetch_s: seconds from the placement until the job's image is on the machine.
 
         Returns:
-            Monotonic time, or None when no objective is left.
+            The monotonic time, or None when the job can't meet any objective.
         """
         spec = job.spec
         earliest_start = now + image_fetch_s
@@ -94,7 +96,7 @@
     def too_urgent_for_spot(self, job: Job, machine_type: MachineType, now: float) -> bool:
         """Whether the job has to start so soon that it can't wait for a spot instance of this type.
 
-        A starving job can't either: one without any objective left would wait for ever where no spot
+        A starving job can't wait either: if it can't meet any objective, it would wait for ever where no spot
         instance is available.
         """
         if self.is_starving(job, now):
@@ -105,15 +107,18 @@
         )
 
     def is_starving(self, job: Job, now: float) -> bool:
-        """Whether the job has waited so long that it goes first and machines are held for it."""
+        """Whether the job has waited so long that it goes first and machines are held for it.
+
+        Jobs that already have attempts starve after twice the threshold.
+        """
         return now - job.waiting_since > self.starvation_threshold_s * (1 if job.attempt_count == 0 else 2)
 
 
 def image_fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
-    """Seconds to fetch a job's image on a machine that doesn't have it."""
+    """Return the seconds to fetch a job's image on a machine that doesn't have it in its cache."""
     return spec.image_gb / machine_type.fetch_gb_per_s if machine_type.fetch_gb_per_s > 0 else 0.0
 
 
 def provisioning_time(machine_type: MachineType, spec: JobSpec) -> float:
-    """Seconds from the request for a machine until a task of the job runs on it."""
+    """Return the seconds from the request for a machine until a task of the job runs on it."""
     return machine_type.boot_s + image_fetch_time(spec, machine_type)
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -1,4 +1,4 @@
-"""Plans of preemption: the machines on which a job would fit, and the cheapest victims on each."""
+"""Preemption plans: the machines on which a job would fit, and the cheapest victims on each."""
 
 from __future__ import annotations
 
@@ -18,47 +18,47 @@
 
 
 class VictimChoice(msgspec.Struct, frozen=True):
-    """Attempts on one machine whose end lets one task fit, and the seconds of work lost with them."""
+    """Attempts to stop on a machine so that one task fits, and the seconds of work that are lost."""
 
     loss_s: float
     victims: list[TaskAttempt]
 
 
 class PlannedMachine(msgspec.Struct, frozen=True):
-    """A machine for one task of the job, with the attempts to stop there (none where the task fits already)."""
+    """A machine for one task of the job, with the attempts to stop there (none if the task already fits)."""
 
     machine: Machine
     victims: list[TaskAttempt]
-    cost_s: float  # work lost, and the wait for the image
+    cost_s: float  # the work lost and the time to fetch the image
 
     def sort_key(self) -> tuple[float, str]:
-        """The cheapest first, then by name."""
+        """Return the key that sorts by cost, then by name."""
         return self.cost_s, self.machine.name
 
 
 class PreemptionPlan(msgspec.Struct, frozen=True):
-    """Machines for the waiting tasks of a job, one entry a task."""
+    """Machines for the waiting tasks of a job; each entry is for one task."""
 
     entries: list[PlannedMachine] = msgspec.field(default_factory=list)
     cost_s: float = 0.0
 
     @property
     def has_victims(self) -> bool:
-        """Whether anything has to be stopped."""
+        """Whether the plan stops any attempts."""
         return any(entry.victims for entry in self.entries)
 
     def image_fetch_s(self, spec: JobSpec) -> float:
-        """The longest wait for the job's image on the plan's machines."""
+        """Return the longest time to fetch the job's image on any of the plan's machines."""
         return max((entry.machine.image_fetch_time(spec) for entry in self.entries), default=0.0)
 
     def longest_save_s(self) -> float:
-        """The longest time that a victim takes to save its checkpoint."""
+        """Return the longest time that a victim takes to save its checkpoint."""
         specs = (victim.job.spec for entry in self.entries for victim in entry.victims)
         return max((spec.checkpoint_save_s for spec in specs if spec.checkpoint_interval_s > 0), default=0.0)
 
 
 class PreemptionPlanner:
-    """Searches the state that the last scheduling pass left for the cheapest plan; changes nothing."""
+    """Finds the cheapest plan based on the state after the last scheduling pass, which it doesn't change."""
 
     def __init__(self, scheduler: Scheduler, policy: PreemptionPolicy) -> None:
         self.policy = policy
@@ -72,16 +72,16 @@
     def plan(
         self, job: Job, now: float, *, max_image_fetch_s: float = math.inf, elastic_only: bool = False
     ) -> PreemptionPlan:
-        """The cheapest plan for the job's waiting tasks.
+        """Return the cheapest plan for the job's waiting tasks.
 
         Args:
-            job: a gang, for which the plan is complete, or another job, for as many tasks as possible.
+            job: the waiting job. The plan contains all tasks of a gang, or as many tasks of another job as possible.
             now: monotonic time.
-            max_image_fetch_s: machines on which the image would take longer are left out.
+            max_image_fetch_s: machines on which fetching the image would take longer are left out.
             elastic_only: whether only elastic work may be stopped.
 
         Returns:
-            The plan; without entries when there is none.
+            The plan; it has no entries when the job can't be placed.
         """
         best = PreemptionPlan()
         wanted = self._allowed_count(job)
@@ -98,7 +98,7 @@
         return best
 
     def _allowed_count(self, job: Job) -> int:
-        """How many waiting tasks the team's quota allows, up to those of one pass; all or none of a gang."""
+        """Return how many waiting tasks the quota allows, up to the limit of a pass; for a gang all or none."""
         if job.spec.kind is JobKind.GANG:
             return job.spec.tasks if self.quotas.allows(job, job.spec.tasks) else 0
         count = len(job.next_waiting_indexes(MAX_TASKS_PER_PASS))
@@ -113,7 +113,7 @@
     def _options(
         self, job: Job, zone: str | None, now: float, *, max_image_fetch_s: float, elastic_only: bool
     ) -> list[PlannedMachine]:
-        """All machines on which a task of the job would fit, the cheapest first."""
+        """Return all machines on which a task of the job would fit after preemption, cheapest first."""
         spec = job.spec
         options = []
         for machine in self.capacity.schedulable:
@@ -132,7 +132,7 @@
         return sorted(options, key=PlannedMachine.sort_key)
 
     def _choose_victims(self, job: Job, machine: Machine, now: float, *, elastic_only: bool) -> VictimChoice | None:
-        """The attempts of lowest rank and least loss whose end lets one task fit; None when that is not enough."""
+        """Choose attempts to stop, lowest rank and least loss first, until one task fits; None if it can't fit."""
         resources = job.spec.resources
         free = self.capacity.free_on(machine)
         if resources.fits(free):
@@ -155,7 +155,7 @@
             return None
         total_loss = 0.0
         victims: list[TaskAttempt] = []
-        # keys of attempts are unique, so that the attempts themselves are never compared
+        # The keys of attempts are unique, so that sorting never compares the attempts themselves.
         ranked = [
             (self.queue.rank(attempt.job), self._lost_work_s(attempt, now), attempt.key, attempt)
             for attempt in stoppable
@@ -169,9 +169,9 @@
         return VictimChoice(total_loss, victims)
 
     def _lost_work_s(self, victim: TaskAttempt, now: float) -> float:
-        """Seconds of work lost when this task is stopped, over its whole gang."""
+        """Return the seconds of work lost when the task and its gang are stopped, weighted by GPUs."""
         spec = victim.job.spec
-        # without a checkpoint all is lost since the placement, also an unfinished fetch
+        # Without a checkpoint, all progress since the placement is lost, including that of an image fetch.
         lost = spec.checkpoint_save_s if victim.can_save_checkpoint else now - victim.placed_at
         machine = self.inventory.machines.get(victim.machine)
         restart = image_fetch_time(spec, machine.type) if machine is not None else 0.0
@@ -180,7 +180,7 @@
 
 
 def _cheapest_plan(options: list[PlannedMachine], wanted: int, zones: ZoneConstraint) -> PreemptionPlan:
-    """The first options, up to ``wanted``, that the zones allow."""
+    """Return a plan with the first ``wanted`` options that the zone constraint allows, or all if they are fewer."""
     entries: list[PlannedMachine] = []
     total_cost = 0.0
     for option in options:
--- a/src/passrock/core/quota.py
+++ b/src/passrock/core/quota.py
@@ -1,4 +1,4 @@
-"""Team quotas: what each team uses and demands, compared with its quota."""
+"""Team quotas: the resources that each team uses and demands, and whether its quota allows more."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TeamQuotas:
-    """Usage and demand of the teams; orphans count as usage, since they may still be running."""
+    """Checks jobs against the quotas of their teams; orphans count as usage, since they may still be running."""
 
     def __init__(self, job_table: JobTable, inventory: MachineInventory, teams: dict[str, Team]) -> None:
         self.job_table = job_table
@@ -19,7 +19,7 @@
         self._orphan_usage: dict[str, Resources] = {}
 
     def count_orphans(self) -> None:
-        """Count the orphans of the latest heartbeats, for the pass that begins."""
+        """Count the orphans in the latest heartbeats, for the scheduling pass that begins."""
         self._orphans = set()
         self._orphan_usage = {}
         for machine in self.inventory.machines.values():
@@ -42,12 +42,12 @@
         """Whether the team's quota allows ``count`` more tasks of the job."""
         team = self.teams.get(job.spec.team)
         if team is None:
-            return False  # removed from the settings, so that its quota is unknown; its jobs remain
+            return False  # the team was removed from the settings: its quota is unknown, but its jobs remain
         used = self.job_table.usage.get(team.name, ZERO_RESOURCES) + self._orphan_usage.get(team.name, ZERO_RESOURCES)
         return team.within_quota(used + job.spec.resources.scaled(count))
 
     def demand(self, team: str) -> Resources:
-        """What all unfinished jobs of a team ask for."""
+        """Return the resources for all uncompleted tasks of a team's jobs."""
         total = ZERO_RESOURCES
         for job in self.job_table.jobs.values():
             if job.spec.team == team and not job.cancelled:
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduling pass: goes through the waiting jobs in order and starts what fits."""
+"""The scheduling pass: takes the waiting jobs in the order of the queue and starts the tasks that fit."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from passrock.core.starvation_holds import StarvationHolds
 from passrock.core.task_placement import MAX_TASKS_PER_PASS, TaskPlacement
 
-STOP_LATENCY_HEARTBEATS = 1.5  # heartbeat intervals until a task without anything to save has freed its resources
+STOP_LATENCY_HEARTBEATS = 1.5  # heartbeat intervals until a stopped task without a checkpoint has freed its resources
 
 
 class Scheduler:
     """Places waiting tasks, one pass at a time.
 
-    Preemption and fair admission read the state in which the last pass left its parts.
+    Between passes ``capacity``, ``quotas``, ``queue`` and ``holds`` keep the state of the last pass, which
+    preemption and fair admission read.
 
     Attributes:
-        assignments: team by machine, as the last binding round left it.
-        overrides: what fair admission decides for the next pass.
-        waiting: what the last pass left, most urgent first.
-        stop_latency_s: seconds until a stopped task without anything to save has freed its resources.
+        assignments: the team by machine name, as assigned in the last binding round.
+        overrides: the jobs to which fair admission gives precedence in the next pass.
+        waiting: the jobs that still had waiting tasks after the last pass, most urgent first.
+        stop_latency_s: seconds until a stopped task without a checkpoint to save has freed its resources.
     """
 
     def __init__(
@@ -62,13 +63,13 @@
 
     @property
     def truncated(self) -> bool:
-        """Whether the last pass left tasks that it would have placed, so that another pass should follow at once."""
+        """Whether the last pass reached the limit of tasks for a job, so that another pass should follow at once."""
         return self._tasks.truncated
 
     def run(self, now: float) -> list[TaskAttempt]:
-        """Start what fits; returns the new attempts. What still waits afterwards is in ``waiting``."""
+        """Start the tasks that fit and return their attempts; ``waiting`` then contains the jobs that still wait."""
         self._begin_pass(now)
-        self.waiting = self.queue.ordered(now)
+        self.waiting = self.queue.ready_jobs(now)
         if not self.capacity.schedulable or not self.waiting:
             return []
         self.capacity.update_with_capacity(self.waiting)
@@ -91,7 +92,7 @@
         if job.spec.kind is JobKind.GANG:
             return self._gangs.place(job, now)
         if self.queue.is_prioritized(job):
-            # its class lacks a single start: the rest of the job waits for its turn
+            # Its class needs a single start only; the other tasks of the job wait for their turn.
             self._starvation_holds.hold_machines(job, now)
             return self._tasks.place(job, now, max_tasks=1)
         return self._tasks.place(job, now, max_tasks=MAX_TASKS_PER_PASS)
--- a/src/passrock/core/starvation_holds.py
+++ b/src/passrock/core/starvation_holds.py
@@ -1,4 +1,4 @@
-"""Holds for starving jobs: machines kept free until all that a job needs are free at the same time."""
+"""Holds for starving jobs: machines are kept free until as many as a job needs are free at the same time."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from passrock.core.objectives import ServiceLevelObjectives
 from passrock.core.quota import TeamQuotas
 
-HOLD_STOP_LATENCIES = 2  # a hold lasts for this many stop latencies, unless it is renewed
-HELD_BONUS_STOP_LATENCIES = 5  # by which the wait may be longer for each machine that is already held
-MAX_HELD_SHARE = 0.5  # of the schedulable machines, beyond which jobs get their holds one after the other
-INCOMPLETE_PENALTY_S = 1e6  # zones with too few machines come after all others
+HOLD_STOP_LATENCIES = 2  # a hold expires after this many stop latencies, unless it is renewed
+HELD_BONUS_STOP_LATENCIES = 5  # deducted from the wait in a zone for each of its machines that is already held
+MAX_HELD_SHARE = 0.5  # of the schedulable machines; beyond it, jobs get their holds one after the other
+INCOMPLETE_PENALTY_S = 1e6  # added to the wait in zones with too few machines, which come after all other zones
 
 
 class HoldCandidate(msgspec.Struct, frozen=True):
-    """A machine that may be held, and in how many seconds it is likely to be free."""
+    """A machine that may be held, and the estimated seconds until it has enough free capacity for a task."""
 
     machine: Machine
     wait_s: float
     held_already: bool
 
     def sort_key(self) -> tuple[float, bool, str]:
-        """The shortest wait first, then machines that are held already, then by name."""
+        """Return the key that sorts by wait, then held machines before others, then by name."""
         return self.wait_s, not self.held_already, self.machine.name
 
 
 class StarvationHolds:
-    """Holds machines for gangs that starve, and one for a job that fair admission has prioritized."""
+    """Holds machines for starving gangs, and a single machine for a job that fair admission has prioritized."""
 
     def __init__(
         self,
@@ -56,11 +56,12 @@
         self.stop_latency_s = stop_latency_s
 
     def hold_machines(self, job: Job, now: float) -> None:
-        """Hold the machines that are likely to be free for the job first, if it has waited long enough.
+        """Hold the machines that are likely to be free first, if the job is starving or prioritized.
 
-        Without holds, smaller jobs used each machine as soon as it was free or had booted, so that a large gang
-        never found all it needs free at the same time. What runs on the machines ends by itself or is preempted
-        where the rules of preemption allow it; booting machines are added once they are schedulable.
+        Earlier holds for the job are renewed or released. Without holds, smaller jobs used each machine as soon as it
+        was free or had booted, so that a large gang never found as many machines as it needs free at the same time.
+        Tasks on the held machines end by themselves or are preempted where the rules of preemption allow it; booting
+        machines are added once they are schedulable.
         """
         wanted = job.spec.tasks if job.spec.kind is JobKind.GANG else 1
         has_precedence = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
@@ -77,7 +78,7 @@
             self.holds.hold(machine, job, now + HOLD_STOP_LATENCIES * self.stop_latency_s)
 
     def _choose(self, job: Job, wanted: int, held_already: set[str], now: float) -> list[Machine]:
-        """The machines of the zone in which the job is likely to start first."""
+        """Return the machines to hold: those that are likely to be free first, in the best of the zones to try."""
         best_score: float | None = None
         best: list[HoldCandidate] = []
         for zone in self.capacity.zones_to_try(job.spec):
--- a/src/passrock/core/submission_checks.py
+++ b/src/passrock/core/submission_checks.py
@@ -1,4 +1,4 @@
-"""Checks on a submission: whether its job can ever run."""
+"""Checks of submissions: whether the job can ever run."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def rejection_reason(spec: JobSpec, teams: dict[str, Team], machine_types: dict[str, MachineType]) -> str | None:
-    """Why a job can never run, or None."""
+    """Return the reason for which a job can never run, or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
--- a/src/passrock/core/task_exits.py
+++ b/src/passrock/core/task_exits.py
@@ -1,4 +1,4 @@
-"""Consequences of a task's exit: completion, or a retry that takes account of a faulty machine or job."""
+"""Effects of a task's exit: completion, or a retry that accounts for a faulty machine or job."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from passrock.core.machine import Machine
 from passrock.core.messages import ExitReason
 
-FAILURE_BACKOFF_S = 2.0  # doubled with each failure
+FAILURE_BACKOFF_S = 2.0  # doubles with each consecutive failure of the job
 MAX_FAILURE_BACKOFF_DOUBLINGS = 6
 MAX_FAILURE_BACKOFF_S = 60.0
-REFUSAL_BACKOFF_HEARTBEATS = 2  # heartbeat intervals until a refused start is tried again
+REFUSAL_BACKOFF_HEARTBEATS = 2  # until a refused start is retried
 
 
 def record_exit(
@@ -22,7 +22,7 @@
     inventory: MachineInventory,
     now: float,
 ) -> None:
-    """Record the exit of an attempt; unless it has completed, its task waits again."""
+    """Record the exit of an attempt; the task waits again unless it has completed."""
     job = attempt.job
     retry_refused_at = now + inventory.health.heartbeat_interval_s * REFUSAL_BACKOFF_HEARTBEATS
     match reason:
@@ -41,9 +41,10 @@
 
 
 def _record_failure(job: Job, machine: Machine, inventory: MachineInventory, now: float) -> None:
-    """Record a task's failure: usually the machine is at fault, but some jobs fail on any machine.
+    """Record the failure of a task, which is usually due to the machine, though some jobs fail on any machine.
 
-    A suspect job doesn't quarantine machines: a faulty array once had every machine quarantined that it tried.
+    Failures of a suspect job don't quarantine machines: otherwise a faulty array had every machine quarantined on
+    which one of its tasks started.
     """
     if not job.is_suspect:
         machine.quarantined_until = max(machine.quarantined_until, now + inventory.health.lease_s)
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -1,4 +1,4 @@
-"""Placement of tasks that start one by one: those of arrays, and replicas of services."""
+"""Placement of tasks that start independently: those of arrays, and replicas of services."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from passrock.core.quota import TeamQuotas
 from passrock.core.zone_constraint import ZoneConstraint
 
-MAX_TASKS_PER_PASS = 64  # of one job, which bounds the time of a pass; the next pass follows at once
+MAX_TASKS_PER_PASS = 64  # for each job, which limits the duration of a pass; the next pass follows at once
 
 
 class TaskShape(NamedTuple):
-    """The properties that decide where a task fits; if one task of a shape is unschedulable, all are."""
+    """The properties that decide where a task fits: if a task is unschedulable, so are all tasks of its shape."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -28,7 +28,7 @@
 
     @classmethod
     def of(cls, spec: JobSpec) -> TaskShape:
-        """The shape of a job's tasks."""
+        """Return the shape of a job's tasks."""
         return cls(spec.resources, spec.machine_types, spec.zone, spec.allows_spot, spec.kind)
 
 
@@ -36,7 +36,7 @@
     """Places as many of a job's waiting tasks as fit.
 
     Attributes:
-        truncated: whether this pass has left tasks of a job that it would have placed.
+        truncated: whether this pass has placed as many tasks of a job as it may, so that others may be left.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         self._unschedulable_shapes: set[TaskShape] = set()
 
     def begin_pass(self) -> None:
-        """Drop what the last pass found."""
+        """Clear the results of the last pass."""
         self.truncated = False
         self._unschedulable_shapes = set()
 
     def place(self, job: Job, now: float, *, max_tasks: int = MAX_TASKS_PER_PASS) -> list[TaskAttempt]:
-        """Start up to ``max_tasks`` of the job's tasks; returns their attempts."""
+        """Start up to ``max_tasks`` of the job's tasks and return their attempts."""
         spec = job.spec
         shape = TaskShape.of(spec)
         if shape in self._unschedulable_shapes and not self.holds.exist_for(job):
@@ -69,11 +69,12 @@
         zones = ZoneConstraint.of(job, self.capacity.inventory)
         if zones.has_unknown_zone or not self.quotas.allows(job, 1):
             return []
-        # jobs with tasks in some zones, and those that wait for spot, may not fit where others of their shape do
-        is_typical = not zones.counts and not may_wait_for_spot(spec)
+        # Jobs limited by the zones of their attempts, or waiting for spot instances, may not fit where other jobs of
+        # their shape do.
+        represents_shape = not zones.counts and not may_wait_for_spot(spec)
         heap = self.scorer.candidate_heap(job, zones.required_zone, now)
         if not heap:
-            if is_typical:
+            if represents_shape:
                 self._unschedulable_shapes.add(shape)
             return []
         started: list[TaskAttempt] = []
@@ -84,7 +85,7 @@
                 break
             _drop_forbidden_zones(heap, zones)
             if not heap:
-                if is_typical and not zones.counts:
+                if represents_shape and not zones.counts:
                     self._unschedulable_shapes.add(shape)
                 break
             started.append(self._start_on_cheapest(job, index, heap, zones, now))
@@ -98,13 +99,13 @@
         _, _, machine = heappop(heap)
         self.capacity.allocate(machine, job.spec.resources)
         zones.add(machine.zone)
-        attempt = self.job_table.start(job, index, machine, job.next_attempt_number(index), now)
+        attempt = self.job_table.add_attempt(job, index, machine, job.next_attempt_number(index), now)
         self.scorer.push_back(heap, job, machine)
         return attempt
 
 
 def _drop_forbidden_zones(heap: list[Candidate], zones: ZoneConstraint) -> None:
-    """Pop machines until the cheapest is in a zone that may take one more task."""
+    """Pop machines until the cheapest machine is in a zone that may take another task."""
     while heap:
         _, _, cheapest = heap[0]
         if zones.allows(cheapest.zone):
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of specs, heartbeats and a scheduler for the tables of cases."""
+"""Builders of job specifications, heartbeats and a scheduler with its state, for unit tests."""
 
 from passrock.core.inventory import MachineInventory
 from passrock.core.job_table import JobTable
@@ -68,14 +68,14 @@
         return self.job_table.load(new_job_record(spec(number, **fields), at), self.revision, at, at)
 
     def commit(self):
-        """Mark every change of the job table as committed."""
+        """Mark all changes of the job table as committed."""
         for job in self.job_table.jobs.values():
             for page in job.pages.values():
                 page.committed_version = page.version
         self.job_table.uncommitted.clear()
 
     def refresh_heartbeats(self, now):
-        """Give every machine a heartbeat at this time in which no task runs."""
+        """Set the last heartbeat of every machine to ``now``, and the resources in use on it to zero."""
         for machine in self.inventory.machines.values():
             machine.last_heartbeat_at, machine.used = now, ZERO_RESOURCES
 
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -510,7 +510,7 @@
         decode_record(msgspec.json.decode(golden("records/job_array.record")), JobRecord), 98, 100.0, 20.0
     )
     for index, attempt_number in ((1, 21), (4, 23), (2, 22), (5, 24), (3, 25)):
-        harness.job_table.start(job, index, machine, attempt_number, 0.0)
+        harness.job_table.add_attempt(job, index, machine, attempt_number, 0.0)
     for attempt in [attempt for attempt in job.attempts() if attempt.index in (1, 3, 4)]:
         harness.job_table.record_attempt_completed(attempt)
     return harness, job
@@ -531,7 +531,7 @@
     """A job that is done, a cancelled one, and the records of tasks that they leave behind."""
     harness, job = started_job()
     for index in (0, 6):
-        harness.job_table.start(job, index, harness.inventory.machines["host-31"], 26, 0.0)
+        harness.job_table.add_attempt(job, index, harness.inventory.machines["host-31"], 26, 0.0)
     for attempt in list(job.attempts()):
         harness.job_table.record_attempt_completed(attempt)
     job.page(4).mod_revision = 99
@@ -898,7 +898,7 @@
             harness.job_table.record_attempt_completed(attempt)
         for index in (0, 6):
             harness.job_table.record_attempt_completed(
-                harness.job_table.start(job, index, harness.inventory.machines["host-31"], 26, 0.0)
+                harness.job_table.add_attempt(job, index, harness.inventory.machines["host-31"], 26, 0.0)
             )
         finals = []
         queue = commit_queue(client, harness.job_table)
--- a/tests/test_large_jobs_scale_out.py
+++ b/tests/test_large_jobs_scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out for jobs of hundreds of tasks: no fixed limit on provisioning may delay them."""
+"""Scale-out for jobs of hundreds of tasks: no fixed limit on the machines provisioned at a time delays them."""
 
 import asyncio
 
@@ -7,36 +7,42 @@
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
-SPREAD_S = 30.0  # boot, image fetch, and what provisioning and recording so many takes at the rates of the stand-ins
+# Boot, image fetch, and the time to provision and record 200 machines at the request rates of the stand-ins.
+MAX_START_S = 30.0
 
 
-async def largest_job(fields, machines):
-    """One job that needs every machine of the cloud; the seconds until all of its tasks ran at once, or None."""
+async def run_largest_job(fields, machines):
+    """Run a job that needs every machine of the cloud.
+
+    Returns the cluster and the seconds until all tasks of the job run at the same time, or None if they don't.
+    """
     cluster = SimulatedCluster(
         7, zones=("a",), machines=2, teams=3, guarantee=0.0, limit=1000.0, capacity=(machines, 0)
     )
     await cluster.wait_for_leader()
     spec = cluster.job(1, cores=14.0, cards=2.0, ramGb=50.0, loanS=300.0, volumes=machines, **fields)
-    began = cluster.now()
+    submitted_at = cluster.now()
     cluster.spawn(cluster.user(spec, run_s=300.0))
-    while cluster.now() < began + 4 * SPREAD_S:
+    while cluster.now() < submitted_at + 4 * MAX_START_S:
         await asyncio.sleep(1.0)
         status, answer = await cluster.ask("GET", f"/v2/runs/{spec['ref']}")
         if status == 200 and answer["running"] == machines:
-            return cluster, cluster.now() - began
+            return cluster, cluster.now() - submitted_at
     return cluster, None
 
 
 @pytest.mark.parametrize(
     "fields",
     [
-        {"format": "group"},  # 64 machines were provisioned for a gang of any size: it waited for ever
+        # guards against a limit of 64 machines for a gang of any size, which then waited for ever
+        {"format": "group"},
         {"format": "group", "samePlace": True},
-        {"format": "batch"},  # machines were provisioned for 64 tasks at a time, and no more until these were up
+        # guards against provisioning for 64 tasks at a time, with a wait until these machines were up
+        {"format": "batch"},
     ],
 )
 def test_the_largest_job_gets_every_machine(fields):
-    cluster, took = virtual_time.run(largest_job(fields, 200))
+    cluster, time_to_start_s = virtual_time.run(run_largest_job(fields, 200))
     assert cluster.checker.broken == []
-    assert took is not None
-    assert took < SPREAD_S
+    assert time_to_start_s is not None
+    assert time_to_start_s < MAX_START_S
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which tasks are preempted for which jobs, and how they are stopped."""
+"""Preemption: which tasks may be preempted for which jobs, and how they are stopped."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, Priority, Resources, Team
 
-TEAMS_AND_GUEST = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}  # the guest has no guarantee
+TEAMS_AND_GUEST = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}  # a team without a guarantee
 
 
 @pytest.mark.parametrize(
@@ -16,7 +16,8 @@
         ({"priority": Priority.LOW}, {"priority": Priority.PRODUCTION}, True),
         ({"priority": Priority.PRODUCTION}, {"priority": Priority.PRODUCTION}, False),
         ({"priority": Priority.HIGH}, {"priority": Priority.NORMAL}, False),
-        ({"tasks": 6, "team": "t1"}, {"priority": Priority.NORMAL, "team": "t0"}, True),  # beyond t1's guarantee
+        # the victim is beyond the guarantee of t1
+        ({"tasks": 6, "team": "t1"}, {"priority": Priority.NORMAL, "team": "t0"}, True),
         ({"tasks": 6, "team": "t0"}, {"priority": Priority.NORMAL, "team": "t0"}, False),
     ],
 )
@@ -34,7 +35,7 @@
     harness.inventory.machines["m1"].used = BOX.size
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
-        # a start that does not count yet is not undone
+        # attempts that have not run for the minimum time are not preempted
         assert not harness.preemption.select_victims(waiting, 1.0)
         for attempt in harness.job_table.attempts_by_machine["m1"].values():
             attempt.running_since = -60.0
@@ -42,7 +43,7 @@
 
 
 def test_a_preempted_gang_stops_every_member():
-    """Every member is asked to stop with time to save, also those on machines that nobody needs."""
+    """Every member gets time to save and is stopped, also on machines that the preempting job doesn't use."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     gang = harness.job(
         1,
@@ -64,21 +65,24 @@
         stop_gracefully(attempt, 6.0)
     assert harness.preemption.is_stopping_victims_for(replica)
     assert [attempt.stop_grace_s for attempt in gang.attempts()] == [6.0, 6.0]
-    assert harness.preemption.select_victims(replica, 2.0) == []  # one set of victims at a time
+    assert harness.preemption.select_victims(replica, 2.0) == []  # no more victims until the first ones have ended
 
 
 ELASTIC_WORK_CASES = [
     pytest.param("guest", Priority.LOW, JobKind.GANG, 1, True, id="low-priority work without a guarantee"),
-    pytest.param("t1", Priority.LOW, JobKind.GANG, 1, False, id="it is covered by a guarantee"),
-    pytest.param("guest", Priority.NORMAL, JobKind.GANG, 1, False, id="it is more than idle-time work"),
-    pytest.param("guest", Priority.LOW, JobKind.GANG, 3, False, id="the job is beyond its own guarantee"),
-    pytest.param("guest", Priority.LOW, JobKind.ARRAY, 1, False, id="an array starts task by task anyway"),
+    pytest.param("t1", Priority.LOW, JobKind.GANG, 1, False, id="work of a team with a guarantee"),
+    pytest.param("guest", Priority.NORMAL, JobKind.GANG, 1, False, id="work of normal priority"),
+    pytest.param("guest", Priority.LOW, JobKind.GANG, 3, False, id="the waiting gang is beyond its team's guarantee"),
+    pytest.param("guest", Priority.LOW, JobKind.ARRAY, 1, False, id="the waiting job is an array, not a gang"),
 ]
 
 
 @pytest.mark.parametrize(("team", "priority", "kind", "tasks", "revoked"), ELASTIC_WORK_CASES)
 def test_elastic_work_is_revoked_at_once(team, priority, kind, tasks, revoked):
-    """Guaranteed gangs waited for a minute beside machines full of work of a team without a guarantee."""
+    """Elastic work of a team without a guarantee doesn't get the minimum run time of other victims.
+
+    Otherwise guaranteed gangs waited for a minute although machines were full of elastic work.
+    """
     harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_AND_GUEST)
     harness.job(
         1,
@@ -97,7 +101,7 @@
     victims = harness.preemption.select_victims(gang, 1.0, elastic_only=True)
     assert (len(victims) == 4 * tasks) is revoked
     assert bool(victims) is revoked
-    assert harness.preemption.is_stopping_victims_for(gang) is False  # until they are asked to stop
+    assert harness.preemption.is_stopping_victims_for(gang) is False  # since no victim has been asked to stop
 
 
 def test_elastic_work_is_left_alone_when_its_capacity_is_not_enough():
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -226,7 +226,9 @@
 
 def fail_on(harness, reconciler, job, machine, now):
     """One of the job's tasks is started on a machine and fails there."""
-    attempt = harness.job_table.start(job, 0, harness.inventory.machines[machine], job.next_attempt_number(0), now)
+    attempt = harness.job_table.add_attempt(
+        job, 0, harness.inventory.machines[machine], job.next_attempt_number(0), now
+    )
     attempt.launch_sequence = 0
     sequence = harness.inventory.machines[machine].sequence + 1
     failed = exited(ExitReason.FAILED, job=job.spec.id, attempt_number=attempt.number)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -26,7 +26,7 @@
     harness = SchedulerHarness([])
     for number, fields in enumerate(jobs):
         harness.job(number, **fields)
-    queue = harness.scheduler.queue.ordered(0.0)
+    queue = harness.scheduler.queue.ready_jobs(0.0)
     catalog = MachineCatalog({"box": BOX})
     assert scale_out(harness, catalog, queue) == machine_counts
     for offering, count in machine_counts.items():  # booting machines are enough
@@ -61,7 +61,7 @@
     catalog = MachineCatalog({"box": BOX})
     for zone in BOX.zones:
         catalog.mark_unavailable(MachineOffering("box", zone, True), 50.0)
-    queue = harness.scheduler.queue.ordered(0.0)
+    queue = harness.scheduler.queue.ready_jobs(0.0)
     assert scale_out(harness, catalog, queue) == {}
     late = scale_out(harness, catalog, queue, 285.0)
     assert late == {MachineOffering("box", "a", True): 1}  # available again by then
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduling: queue order, fit and cost, gangs, images, machines held for starving jobs."""
+"""Scheduling: queue order, placement and its cost, gangs, image fetches, and machine holds for starving jobs."""
 
 import pytest
 
@@ -10,19 +10,19 @@
 from passrock.core.records import encode_record, new_job_record, tasks_per_page
 from passrock.core.zone_constraint import ZoneConstraint
 
-# job fields, machines (name, zone, spot), tasks expected to be placed
+# job fields, machines (name, zone, spot), expected number of placed tasks
 PLACEMENT_CASES = [
     pytest.param({"tasks": 3}, [("m1", "a", False)], 2, id="as many tasks as fit"),
     pytest.param({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0, id="a gang that does not fit"),
     pytest.param({"zone": "b"}, [("m1", "a", False)], 0, id="another zone"),
     pytest.param({"machine_types": ("other",)}, [("m1", "a", False)], 0, id="another machine type"),
-    pytest.param({}, [("m1", "a", True)], 0, id="no spot instances wanted"),
+    pytest.param({}, [("m1", "a", True)], 0, id="spot instances not allowed"),
     pytest.param({"allows_spot": True}, [("m1", "a", True)], 1, id="spot instances allowed"),
     pytest.param(
         {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
         [("m1", "a", False)],
         1,
-        id="replicas spread over zones: one zone only",
+        id="replicas spread over zones, of which only one exists",
     ),
     pytest.param(
         {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
@@ -34,20 +34,20 @@
         {"tasks": 3, "kind": JobKind.GANG, "single_zone": True},
         [("m1", "a", False), ("m2", "b", False)],
         0,
-        id="a gang of one zone: neither zone has capacity",
+        id="a single-zone gang for which neither zone has capacity",
     ),
     pytest.param(
         {"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3, id="a gang over two zones"
     ),
     pytest.param(
-        {"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2, id="an array of one zone"
+        {"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2, id="a single-zone array"
     ),
-    pytest.param({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8, id="the team's limit"),
+    pytest.param({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8, id="an array beyond the team's quota"),
     pytest.param(
         {"tasks": 9, "kind": JobKind.GANG},
         [(f"m{i}", "a", False) for i in range(9)],
         0,
-        id="a gang beyond the team's limit",
+        id="a gang beyond the team's quota",
     ),
 ]
 
@@ -59,7 +59,7 @@
     assert len(harness.run()) == count
 
 
-def test_orphans_count_against_limits_and_their_task():
+def test_a_task_with_an_orphan_is_not_placed():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     harness.job()
     harness.inventory.machines["m2"].orphans = {("wk-1", 0): Resources(5, 1, 20)}
@@ -68,13 +68,13 @@
     assert harness.run() == [("wk-1", 0, "m1")]
 
 
-def test_images_and_packing_decide():
+def test_cached_images_and_bin_packing_decide_the_machine():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     harness.inventory.machines["m2"].images["img"] = 2.0
     harness.job(1, image_gb=20.0)
     assert harness.run() == [("wk-1", 0, "m2")]
     harness.job(2, image="other", team="t1")
-    assert harness.run() == [("wk-2", 0, "m2")]  # the half-full one
+    assert harness.run() == [("wk-2", 0, "m2")]  # the machine in use, for bin packing
 
 
 @pytest.mark.parametrize(
@@ -83,13 +83,16 @@
         ({"job_class": "late"}, 0.0, "spot"),
         ({"job_class": "late"}, 5.0, "spot"),
         ({"job_class": "none"}, 5.0, "spot"),
-        ({"job_class": "none"}, 60.0, "on-demand"),  # no objective, but it is starving
+        ({"job_class": "none"}, 60.0, "on-demand"),  # no objective, but the job is starving
         ({"job_class": "soon"}, 15.0, "on-demand"),
         ({"job_class": "late", "kind": JobKind.GANG}, 5.0, "on-demand"),
     ],
 )
 def test_arrays_that_can_wait_for_spot_leave_on_demand_machines(fields, now, machine):
-    """They took ordinary machines for minutes, and gangs that may use no others waited beside free spot instances."""
+    """Arrays that may use spot instances don't occupy on-demand machines for long.
+
+    Otherwise gangs that may not use spot instances waited for minutes although spot instances were free.
+    """
     harness = SchedulerHarness([("on-demand", "a", False), ("spot", "a", True)])
     if machine == "on-demand" or now:
         harness.inventory.machines["spot"].reclaim_at = 1.0
@@ -100,14 +103,14 @@
 
 
 def test_replicas_share_machines():
-    """One to a machine, they fragmented half of each for as long as they ran."""
+    """Replicas are packed: spread over empty machines, they left half of each unusable for as long as they ran."""
     harness = SchedulerHarness([(f"m{i}", "a", False) for i in range(4)])
     harness.job(1, kind=JobKind.SERVICE, tasks=4, priority=Priority.PRODUCTION)
     assert len({machine for _, _, machine in harness.run()}) == 2
 
 
 def test_an_image_fetch_in_progress_is_not_slowed():
-    """Two images on one machine share its rate: the second made the first one's task late."""
+    """Two image fetches on a machine share its bandwidth, so that a second fetch would delay the first task."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     harness.inventory.machines["m2"].images["old"] = 1.0
     harness.job(1, image="one", image_gb=20.0)
@@ -118,14 +121,14 @@
 
 
 def test_an_objective_that_the_fetch_would_miss_does_not_count():
-    """Jobs with large images went first for an objective that was lost to them, before those that could meet it."""
+    """A job that would miss an objective because of its image fetch doesn't go before jobs that can meet theirs."""
     harness = SchedulerHarness()
-    image_gb_of = {1: 1.0, 2: 40.0, 3: 20.0}  # at 1 GB a second, with 30 s from the submission to the start
+    image_gb_of = {1: 1.0, 2: 40.0, 3: 20.0}  # fetched at 1 GB/s; the objective is a start within 30 s
     for number, image_gb in image_gb_of.items():
         harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=image_gb, at=0.1 * number)
     harness.run(0.4)
     harness.scheduler.queue.update_guaranteed_jobs()
-    assert [job.spec.id for job in harness.scheduler.queue.ordered(0.5)] == ["wk-3", "wk-1", "wk-2"]
+    assert [job.spec.id for job in harness.scheduler.queue.ready_jobs(0.5)] == ["wk-3", "wk-1", "wk-2"]
 
 
 def test_queue_order():
@@ -135,7 +138,7 @@
     harness.job(3, job_class="soon", at=2.0)
     harness.job(4, priority=Priority.PRODUCTION, at=3.0)
     harness.scheduler.queue.update_guaranteed_jobs()
-    assert [job.spec.id for job in harness.scheduler.queue.ordered(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
+    assert [job.spec.id for job in harness.scheduler.queue.ready_jobs(5.0)] == ["wk-4", "wk-3", "wk-2", "wk-1"]
 
 
 @pytest.mark.parametrize(
@@ -145,7 +148,8 @@
         ({"single_zone": True}, {}, ["a", "b"], None),
         ({"single_zone": True}, {"b": 1}, ["b"], "b"),
         ({"spread_zones": True, "tasks": 3}, {"a": 1}, ["a", "b"], None),
-        ({"spread_zones": True, "tasks": 3}, {"a": 2}, ["b"], None),  # half of them, rounded up, in one zone
+        # at most half of the tasks, rounded up, in the same zone
+        ({"spread_zones": True, "tasks": 3}, {"a": 2}, ["b"], None),
     ],
 )
 def test_zones_of_further_tasks(fields, counts, allowed, required):
@@ -158,7 +162,8 @@
     ("job_class", "now", "guaranteed", "latest_start"),
     [
         ("soon", 0.0, False, 30.0),
-        ("soon", 31.0, False, 187.0),  # the start was missed; it can still end in 200 s, 13 s of which it may run
+        # the start objective is missed; 200 s to the end, less 1.3 times the estimated run time of 10 s
+        ("soon", 31.0, False, 187.0),
         ("soon", 190.0, False, None),
         ("none", 0.0, False, None),
         ("none", 0.0, True, 20.0),
@@ -198,7 +203,7 @@
     ("fields", "stopping", "seconds"),
     [
         ({"estimated_run_s": 40.0}, False, 30.0),
-        ({"estimated_run_s": 5.0}, False, 1.5),  # overdue: it counts as one that ends now
+        ({"estimated_run_s": 5.0}, False, 1.5),  # the estimate is exceeded: expected to end after the stop latency
         ({"estimated_run_s": 40.0}, True, 1.5),
         ({"kind": JobKind.SERVICE}, False, 3600.0),
     ],
@@ -215,12 +220,12 @@
 
 
 def test_machines_are_held_for_a_starving_gang():
-    """Small tasks took each machine as it came free, and the gang never saw two at once."""
+    """Without holds, small tasks take each machine as it becomes free, and a gang never gets two at once."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     small = [harness.job(n, team="t1", resources=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
     assert len(harness.run(0.0)) == 2
     harness.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), single_zone=True, at=1.0)
-    for turn in range(3, 9):  # one small task ends at a time, and another one waits
+    for turn in range(3, 9):  # each turn a small task ends, and another is submitted
         now = 10.0 * turn
         harness.refresh_heartbeats(now)
         for name, machine in harness.inventory.machines.items():
@@ -232,17 +237,18 @@
         if {job for job, _, _ in harness.run(now)} == {"wk-9"}:
             break
         small = [job for job in small if job.attempt_count]
-    assert now == 70.0  # the first end after the starvation threshold had one machine held, the second made it two
+    # At 60 s the wait exceeds the starvation threshold and the first free machine is held; at 70 s both are free.
+    assert now == 70.0
 
 
-def test_huge_array_stays_inside_record_sizes():
+def test_records_of_a_large_array_stay_below_the_size_limit():
     size = tasks_per_page(4096)
     job_table = JobTable(size)
     job = job_table.load(new_job_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     for index in job.next_waiting_indexes(3 * size):
-        job_table.start(job, index, machine, job.next_attempt_number(index), 0.0)
+        job_table.add_attempt(job, index, machine, job.next_attempt_number(index), 0.0)
     job.advance_first_waiting_index()
     assert job.next_waiting_indexes(1) == [3 * size]
     assert max(len(str(encode_record(page.to_record()))) for page in job.pages.values()) < 4096 - 1000
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -26,9 +26,9 @@
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     job = harness.job_table.load(decode_record(msgspec.json.decode(JOB), JobRecord), 7, 100.0, 20.0)
-    harness.job_table.start(job, 1, machine, 4, 0.0)
+    harness.job_table.add_attempt(job, 1, machine, 4, 0.0)
     harness.job_table.record_attempt_completed(next(job.attempts()))
-    harness.job_table.start(job, 2, machine, 5, 0.0)
+    harness.job_table.add_attempt(job, 2, machine, 5, 0.0)
     assert msgspec.json.encode(encode_record(job.page(0).to_record())) == TASK_PAGE
     machine.images["img"] = 2.0
     assert msgspec.json.encode(encode_image_hints(harness.inventory.machines.values(), 4)) == HINTS
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -1,4 +1,4 @@
-"""Which submissions are rejected because their job could never run."""
+"""Submissions that are rejected because their job can never run."""
 
 import pytest
 
@@ -25,6 +25,6 @@
     assert (rejection_reason(spec(**fields), TEAMS, {"box": BOX}) is not None) is refused
 
 
-def test_limits_of_zero_are_none():
+def test_a_quota_or_guarantee_of_zero_means_none():
     assert Team("t", 0, 0, 0, 0).within_quota(Resources(1e6, 1e6, 0))
     assert not Team("t", 0, 0, 0, 0).within_guarantee(Resources(1, 0, 0))
