--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -104,8 +104,8 @@
             self.failure_detector.evaluate(now)
         self._schedule(now)
         if planning:
-            self._preempt(self.scheduler.waiting, now)
-            self.autoscaler.adjust(self.scheduler.waiting, now)
+            self._preempt(self.scheduler.waiting_jobs, now)
+            self.autoscaler.adjust(self.scheduler.waiting_jobs, now)
         self.rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -110,7 +110,7 @@
         return job.spec.id in self.guaranteed
 
     def is_prioritized(self, job: Job) -> bool:
-        """Whether fair admission has the job placed before all others."""
+        """Whether fair admission requires that the job is placed before all others."""
         return job.spec.id in self.overrides.prioritized
 
     def rank(self, job: Job) -> JobRank:
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -66,16 +66,16 @@
             self._track(attempt)
 
     def finish_loading(self, job: Job) -> None:
-        """Stop a gang of which some tasks have no attempt; called once all pages of the job are loaded."""
+        """Stop an incomplete gang and finalize a job that is over; called once all pages of the job are loaded."""
         if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
             self._stop_gang(job)
         self._finalize_if_over(job)
 
     # -- queries ----------------------------------------------------------------------------
 
-    def attempts_on(self, machine: str) -> ValuesView[TaskAttempt]:
+    def attempts_on(self, machine_name: str) -> ValuesView[TaskAttempt]:
         """Return a view of the attempts that are or may be on a machine; copy it before attempts start or end."""
-        return self.attempts_by_machine.get(machine, {}).values()
+        return self.attempts_by_machine.get(machine_name, {}).values()
 
     def is_task_committed(self, job_id: str, index: int) -> bool:
         """Whether every change of the task's page is committed, so that a worker may drop an exited task."""
@@ -139,18 +139,20 @@
             self._mark_done(job, index)
         self._finalize_if_over(job)
 
-    def record_lease_expired(self, machine: str, now: float) -> int:
+    def record_lease_expired(self, machine_name: str, now: float) -> int:
         """Record that the lease of the machine's worker has expired, and return the number of lost attempts.
 
         The tasks have ended, or end when a hung worker resumes. Attempts of cancelled jobs stay recorded until a
         heartbeat or the deletion of the machine proves that they have ended: the time within which these tasks have
         to end also passes while the machine hangs, and a next leader finds them by these records alone.
         """
-        return self._lose_all([attempt for attempt in self.attempts_on(machine) if not attempt.job.cancelled], now)
+        return self._lose_all(
+            [attempt for attempt in self.attempts_on(machine_name) if not attempt.job.cancelled], now
+        )
 
-    def record_machine_lost(self, machine: str, now: float) -> int:
+    def record_machine_lost(self, machine_name: str, now: float) -> int:
         """Record that the machine no longer exists, and return the number of lost attempts."""
-        return self._lose_all(list(self.attempts_on(machine)), now)
+        return self._lose_all(list(self.attempts_on(machine_name)), now)
 
     def _lose_all(self, attempts: list[TaskAttempt], now: float) -> int:
         for attempt in attempts:
--- a/src/passrock/core/machine_holds.py
+++ b/src/passrock/core/machine_holds.py
@@ -41,7 +41,7 @@
         self.by_machine.pop(machine_name, None)
 
     def allows(self, job: Job, machine: Machine) -> bool:
-        """Whether the job may use the machine, which is not so while it is held for another job."""
+        """Whether the machine isn't held for another job."""
         hold = self.by_machine.get(machine.name)
         return hold is None or hold.job_id == job.spec.id
 
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -91,7 +91,7 @@
         return heap
 
     def push_back(self, heap: list[Candidate], job: Job, machine: Machine) -> None:
-        """Return a machine to the heap after a task was placed on it, if another task of the job fits."""
+        """Put a machine back on the heap after a task was placed on it, if another task of the job fits."""
         if job.spec.resources.fits(self.capacity.free_on(machine)):
             heappush(heap, (self.cost(job, machine), machine.name, machine))
 
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -132,7 +132,18 @@
 class JobSpec(msgspec.Struct, frozen=True):
     """The specification of a job as submitted by the user; it never changes.
 
-    Memory and image sizes are in GB; ``deadline_s`` is relative to the submission.
+    Attributes:
+        tasks: the number of tasks.
+        resources: the resources that each task requests.
+        machine_types: names of the allowed machine types; None allows all.
+        zone: the only allowed zone; None allows all.
+        single_zone: whether all tasks have to be in the same zone.
+        spread_zones: whether no zone may have more than half of the tasks, rounded up.
+        allows_spot: whether the tasks may run on spot instances.
+        estimated_run_s: the owner's estimate of the run time.
+        checkpoint_interval_s: the interval between checkpoints; 0 if the tasks save none.
+        checkpoint_save_s: the time to save a checkpoint.
+        deadline_s: the time by which the job should finish, relative to the submission.
     """
 
     id: str
--- a/src/passrock/core/scheduler.py
+++ b/src/passrock/core/scheduler.py
@@ -29,7 +29,7 @@
     Attributes:
         assignments: the team by machine name, as assigned in the last binding round.
         overrides: the jobs to which fair admission gives precedence in the next pass.
-        waiting: the jobs that still had waiting tasks after the last pass, most urgent first.
+        waiting_jobs: the jobs that still had waiting tasks after the last pass, most urgent first.
         stop_latency_s: seconds until a stopped task without a checkpoint to save has freed its resources.
     """
 
@@ -47,7 +47,7 @@
         self.assignments = assignments
         self.objectives = objectives
         self.stop_latency_s = inventory.health.heartbeat_interval_s * STOP_LATENCY_HEARTBEATS
-        self.waiting: list[Job] = []
+        self.waiting_jobs: list[Job] = []
         self.overrides = DispatchOverrides()
         self.capacity = FreeCapacity(inventory)
         self.quotas = TeamQuotas(job_table, inventory, teams)
@@ -67,16 +67,16 @@
         return self._tasks.truncated
 
     def run(self, now: float) -> list[TaskAttempt]:
-        """Start the tasks that fit and return their attempts; ``waiting`` then contains the jobs that still wait."""
+        """Start the tasks that fit and return their attempts; ``waiting_jobs`` lists the jobs that still wait."""
         self._begin_pass(now)
-        self.waiting = self.queue.ready_jobs(now)
-        if not self.capacity.schedulable or not self.waiting:
+        self.waiting_jobs = self.queue.ready_jobs(now)
+        if not self.capacity.schedulable or not self.waiting_jobs:
             return []
-        self.capacity.update_with_capacity(self.waiting)
+        self.capacity.update_with_capacity(self.waiting_jobs)
         started: list[TaskAttempt] = []
-        for job in self.waiting:
+        for job in self.waiting_jobs:
             started += self._place(job, now)
-        self.waiting = [job for job in self.waiting if job.waiting_count > 0]
+        self.waiting_jobs = [job for job in self.waiting_jobs if job.waiting_count > 0]
         return started
 
     def _begin_pass(self, now: float) -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -7,7 +7,7 @@
 from passrock.core.messages import TaskState
 from passrock.core.model import JobKind, Priority, Resources, Team
 
-TEAMS_AND_GUEST = {**TEAMS, "guest": Team("guest", 0, 0, 0, 8)}  # a team without a guarantee
+TEAMS_WITH_UNGUARANTEED = {**TEAMS, "unguaranteed": Team("unguaranteed", 0, 0, 0, 8)}  # a team without a guarantee
 
 
 @pytest.mark.parametrize(
@@ -57,23 +57,26 @@
     harness.run()
     for attempt in gang.attempts():
         attempt.state, attempt.reported = TaskState.RUNNING, True
-    replica = harness.job(2, priority=Priority.PRODUCTION, at=1.0)
+    production_job = harness.job(2, priority=Priority.PRODUCTION, at=1.0)
     harness.run(1.0)
-    victims = harness.preemption.select_victims(replica, 1.0)
+    victims = harness.preemption.select_victims(production_job, 1.0)
     assert {attempt.machine for attempt in victims} == {"m1", "m2"}
     for attempt in victims:
         stop_gracefully(attempt, 6.0)
-    assert harness.preemption.is_stopping_victims_for(replica)
+    assert harness.preemption.is_stopping_victims_for(production_job)
     assert [attempt.stop_grace_s for attempt in gang.attempts()] == [6.0, 6.0]
-    assert harness.preemption.select_victims(replica, 2.0) == []  # no more victims until the first ones have ended
+    # no more victims are selected until the first ones have ended
+    assert harness.preemption.select_victims(production_job, 2.0) == []
 
 
 ELASTIC_WORK_CASES = [
-    pytest.param("guest", Priority.LOW, JobKind.GANG, 1, True, id="low-priority work without a guarantee"),
+    pytest.param("unguaranteed", Priority.LOW, JobKind.GANG, 1, True, id="low-priority work without a guarantee"),
     pytest.param("t1", Priority.LOW, JobKind.GANG, 1, False, id="work of a team with a guarantee"),
-    pytest.param("guest", Priority.NORMAL, JobKind.GANG, 1, False, id="work of normal priority"),
-    pytest.param("guest", Priority.LOW, JobKind.GANG, 3, False, id="the waiting gang is beyond its team's guarantee"),
-    pytest.param("guest", Priority.LOW, JobKind.ARRAY, 1, False, id="the waiting job is an array, not a gang"),
+    pytest.param("unguaranteed", Priority.NORMAL, JobKind.GANG, 1, False, id="work of normal priority"),
+    pytest.param(
+        "unguaranteed", Priority.LOW, JobKind.GANG, 3, False, id="the waiting gang is beyond its team's guarantee"
+    ),
+    pytest.param("unguaranteed", Priority.LOW, JobKind.ARRAY, 1, False, id="the waiting job is an array, not a gang"),
 ]
 
 
@@ -83,7 +86,7 @@
 
     Otherwise guaranteed gangs waited for a minute although machines were full of elastic work.
     """
-    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_AND_GUEST)
+    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_WITH_UNGUARANTEED)
     harness.job(
         1,
         team=team,
@@ -105,10 +108,10 @@
 
 
 def test_elastic_work_is_left_alone_when_its_capacity_is_not_enough():
-    harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)], teams=TEAMS_AND_GUEST)
+    harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)], teams=TEAMS_WITH_UNGUARANTEED)
     harness.job(1, team="t1", priority=Priority.HIGH, tasks=1, resources=Resources(16, 2, 60))
     harness.run()
-    harness.job(2, team="guest", priority=Priority.LOW, tasks=4, resources=Resources(4, 0, 10))
+    harness.job(2, team="unguaranteed", priority=Priority.LOW, tasks=4, resources=Resources(4, 0, 10))
     harness.run()
     gang = harness.job(3, at=1.0, kind=JobKind.GANG, tasks=2, resources=Resources(14, 2, 50), priority=Priority.HIGH)
     assert harness.run(1.0) == []
