--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -56,7 +56,7 @@
         self.holds = holds
         self.scorer = scorer
         self.starvation_holds = starvation_holds
-        self._unschedulable_shapes: dict[GangShape, int] = {}  # the least number of tasks that didn't fit
+        self._unschedulable_shapes: dict[GangShape, int] = {}  # by shape, the least number of tasks that didn't fit
 
     def begin_pass(self) -> None:
         """Clear the results of the last pass."""
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -116,9 +116,13 @@
         cancelled_at: a lower bound of the time at which the cancellation was confirmed to the user; infinite while
             the job is not cancelled.
         final_status: the status in the final record; None until this record is committed.
+        done_count: the number of completed tasks.
+        attempt_count: the number of attempts that are or may be on machines.
         first_waiting_index: no task with a lower index waits, apart from the requeued tasks.
         requeued: indexes of the tasks that wait again because their attempt was lost.
+        retry_not_before: no task is placed before this time, after a failure or a refused start.
         avoided_machines: names of the machines on which a task of the job has failed.
+        waiting_since: the time of the submission, or of the last loss of an attempt.
     """
 
     def __init__(self, spec: JobSpec, submitted_at: float, page_size: int, submitted_at_monotonic: float) -> None:
--- a/src/passrock/core/preemption.py
+++ b/src/passrock/core/preemption.py
@@ -9,8 +9,8 @@
 from passrock.core.scheduler import Scheduler
 
 HOLD_MARGIN_STOP_LATENCIES = 2  # from the expected end of the victims to the expiry of the hold
-# Planning for an objective begins no earlier before the job's latest start than the worker lease plus these many
-# stop latencies and fetches of the job's image.
+# Victims for an objective are planned once the job's latest start is no further away than the worker lease, this many
+# stop latencies and this many fetches of the job's image together.
 PLANNING_STOP_LATENCIES = 4
 PLANNING_IMAGE_FETCHES = 2
 
@@ -107,7 +107,7 @@
         """Hold a plan's machines for the job and return the attempts to stop, with all members of their gangs.
 
         The holds last longer than the victims take to save their checkpoints: when they expired earlier, other jobs
-        used the freed capacity, and the job had to fetch its image on another machine after the wait.
+        used the freed capacity, and the job, after waiting in vain, fetched its image on another machine.
         """
         expires_at = now + self._stop_duration(plan) + HOLD_MARGIN_STOP_LATENCIES * self.stop_latency_s
         victims: dict[tuple[str, int], TaskAttempt] = {}
--- a/src/passrock/core/preemption_policy.py
+++ b/src/passrock/core/preemption_policy.py
@@ -28,8 +28,8 @@
             return False
         if victim_job is job or victim_job.cancelled or self.queue.rank(job) <= self.queue.rank(victim_job):
             return False
-        immediately = job.spec.priority is Priority.PRODUCTION or self._is_revocable(victim, job)
-        if not immediately and not self._has_run_long_enough(victim, now):
+        may_preempt_at_once = job.spec.priority is Priority.PRODUCTION or self._is_revocable(victim, job)
+        if not may_preempt_at_once and not self._has_run_long_enough(victim, now):
             return False
         if victim_job.spec.priority < job.spec.priority:
             return True
