--- a/src/passrock/controller/admission_controller.py
+++ b/src/passrock/controller/admission_controller.py
@@ -1,4 +1,4 @@
-"""The admission controller: decides on new submissions, where a subsystem is switched on that does."""
+"""The interface of an admission controller, which decides on new submissions where fair admission is enabled."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class AdmissionController(Protocol):
-    """Decides whether submissions of jobs that are not known yet are admitted."""
+    """Decides whether submissions of jobs that are not yet known are admitted."""
 
     def decide(self, spec: JobSpec) -> AdmissionToken | Refusal | None:
-        """A token for its transaction, a refusal, or None when it needs no token."""
+        """Return a token for the submission's transaction, a refusal, or None when no token is needed."""
 
     def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
-        """A request with a token has ended; ``unused`` when it is certain that nothing was accepted by it."""
+        """Record the end of a request with a token; ``unused`` when it is certain that it accepted nothing."""
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -23,13 +23,13 @@
     """GPUs of on-demand machines by zone."""
 
     production: dict[str, float]
-    """Used by production work, times the part of it that has to survive the loss of a zone."""
+    """Used by production tasks, times the share of them that must survive the loss of a zone."""
     available: dict[str, float]
-    """What production work could use: GPUs that are idle, or lent to work that can be preempted."""
+    """Available to production tasks: idle, or used by tasks that can be preempted."""
 
 
 class Autoscaler:
-    """Plans scale-out and scale-in from what the last scheduling pass left waiting."""
+    """Plans scale-out and scale-in from the jobs that the last scheduling pass left waiting."""
 
     def __init__(
         self,
@@ -50,19 +50,25 @@
         self.provisioner = provisioner
 
     def adjust(self, queue: list[Job], now: float) -> None:
-        """Scale out for the waiting jobs and for the zone buffer; scale in when nobody waits."""
+        """Scale out for the waiting jobs and for the zone buffer; scale in when no job waits."""
         gpus = self._zone_gpus()
         self._scale_out(queue, gpus, now)
-        if not queue and not self._is_gang_restarting():
+        if not queue and not self._is_any_gang_restarting():
             self._scale_in(gpus, now)
 
     def _scale_out(self, queue: list[Job], gpus: ZoneGpus, now: float) -> None:
-        # a gang for which preempted tasks are still stopping will get their capacity
-        lacking = [
+        # a gang for which preempted tasks are still stopping gets their capacity
+        unserved = [
             job for job in queue if job.spec.kind is not JobKind.GANG or not self.preemption.is_stopping_for(job)
         ]
         machine_counts = plan_scale_out(
-            lacking, self.job_table, self.inventory, self.settings.teams, self.catalog, self.scheduler.objectives, now
+            unserved,
+            self.job_table,
+            self.inventory,
+            self.settings.teams,
+            self.catalog,
+            self.scheduler.objectives,
+            now,
         )
         shortfall = zone_loss_shortfall(gpus.production, gpus.available, self.settings.zones)
         if shortfall > 0:
@@ -74,7 +80,7 @@
             self.provisioner.provision(offering, count)
 
     def _scale_in(self, gpus: ZoneGpus, now: float) -> None:
-        """Delete idle machines, but for those that the buffer for a lost zone needs."""
+        """Delete idle machines, except those that the buffer for a lost zone needs."""
         operator = self.settings.operator
         idle_timeout_s = {
             name: max(operator.idle_floor_s, operator.idle_boot_ratio * machine_type.boot_s)
@@ -83,15 +89,16 @@
         for machine in plan_scale_in(self.inventory, self.job_table, idle_timeout_s, now):
             gpus.available[machine.zone] -= machine.type.size.gpus
             if not machine.spot and zone_loss_shortfall(gpus.production, gpus.available, self.settings.zones) > 0:
-                gpus.available[machine.zone] += machine.type.size.gpus  # part of the buffer
+                gpus.available[machine.zone] += machine.type.size.gpus  # kept for the buffer
                 continue
             info("machine_scaled_in", machine=machine.name)
             self.provisioner.deprovision(machine)
 
-    def _is_gang_restarting(self) -> bool:
-        """Whether a gang waits for the end of its last attempt: it needs its machines again.
+    def _is_any_gang_restarting(self) -> bool:
+        """Whether a gang waits for the end of its last attempt, and so needs its machines again.
 
-        Gangs with tasks on machines that were cut off were in no queue, and their other machines were deleted.
+        A gang with tasks on machines that are cut off is in no queue; without this check its other machines were
+        deleted.
         """
         return any(
             job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -42,7 +42,7 @@
     """Ask the cloud for its machine types until it answers: nothing can be decided without them."""
     while not catalog.types:
         try:
-            catalog.types = await cloud.machine_types()
+            catalog.types = await cloud.list_machine_types()
         except CloudError as problem:
             debug("machine_types_unavailable", error=problem)
             await asyncio.sleep(MACHINE_TYPES_RETRY_S)
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -1,4 +1,4 @@
-"""The leader's binding rounds: machines are assigned to the teams' reservations, and the records written."""
+"""The leader's binding rounds: assign machines to the teams' reservations and write the records."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 from passrock.settings import Settings
 from passrock.wire.store import TXN_BYTES, Entry, Put, Write
 
-MIN_ROUND_GAP = 0.25  # of the round interval, between two rounds
-MIN_FREE_WRITES = 0.6  # of the write burst must be available before a round's records are written
-WRITE_POLL = 0.25  # of the heartbeat interval, between two looks at the free writes
-MAX_RECORD_FILL = 0.9  # of a record's largest size is filled with names of machines
-HINT_BYTES_PER_MACHINE = 160  # a machine with its images in a hint record, at its longest
+MIN_ROUND_GAP_RATIO = 0.25  # of the round interval: the shortest time between two rounds
+MIN_FREE_WRITE_FRACTION = 0.6  # of the write burst: required before records of a round are written
+WRITE_POLL_HEARTBEATS = 0.25  # between two checks of the available writes
+MAX_RECORD_FILL_FRACTION = 0.9  # of a record's size limit: used for names of machines
+MAX_HINT_BYTES_PER_MACHINE = 160  # the longest entry of a machine with its images in a hint record
 
 
 class ClusterGpus(msgspec.Struct):
-    """Where the machines' GPUs are, in the order in which the log shows it.
+    """GPUs of the cluster by use, in the order in which the log shows them.
 
     Attributes:
         machines: the number of machines.
-        waiting: asked for by waiting tasks.
-        booting: of machines that have not sent a heartbeat yet.
+        waiting: requested by waiting tasks.
+        booting: of machines that have not yet sent a heartbeat.
         idle: of machines without attempts.
-        placed: of attempts that are not running yet.
+        placed: of attempts that are not yet running.
         running: of running attempts.
         stranded: unused on machines with attempts.
     """
@@ -75,35 +75,35 @@
         self.inventory = inventory
         self.catalog = catalog
         self.scheduler = scheduler
-        self.assignments = scheduler.assignments  # the team of each machine, as the last round left it
-        self._due = 0.0
+        self.assignments = scheduler.assignments  # machine -> team, as of the last round
+        self._due_at = 0.0
         self._last_round_at = NEVER
-        self._stored: dict[str, Any] = {}
-        self._writing: asyncio.Task[None] | None = None
+        self._stored_records: dict[str, Any] = {}
+        self._write_task: asyncio.Task[None] | None = None
 
     def load(self, reservation: Entry) -> None:
-        """Load one record of an earlier leader."""
-        self._stored[reservation.key] = reservation.value
+        """Load one reservation record of an earlier leader."""
+        self._stored_records[reservation.key] = reservation.value
         self.assignments.update(dict.fromkeys(reservation.value["m"], keys.reservation_team(reservation.key)))
 
     def stop(self) -> None:
-        """Write nothing more."""
-        if self._writing is not None:
-            self._writing.cancel()
+        """Cancel the writing of records."""
+        if self._write_task is not None:
+            self._write_task.cancel()
 
     def bring_forward(self) -> None:
-        """Hold the next round early, as demand or machines changed, though not at once after the last one."""
-        earliest = self._last_round_at + self.settings.operator.round_s * MIN_ROUND_GAP
-        self._due = min(self._due, max(monotonic_time(), earliest))
+        """Hold the next round early, after a change of demand or machines, but not within the minimum gap."""
+        earliest = self._last_round_at + self.settings.operator.round_s * MIN_ROUND_GAP_RATIO
+        self._due_at = min(self._due_at, max(monotonic_time(), earliest))
 
     def run_if_due(self, now: float) -> None:
-        """Hold a round when its time has come."""
-        if now >= self._due:
+        """Hold a round if it is due."""
+        if now >= self._due_at:
             self._run(now)
 
     def _run(self, now: float) -> None:
         early = now - self._last_round_at < self.settings.operator.round_s
-        self._due = now + self.settings.operator.round_s
+        self._due_at = now + self.settings.operator.round_s
         self._last_round_at = now
         result = self._bind()
         self.assignments.clear()
@@ -111,7 +111,7 @@
         records = self._reservation_records(result)
         if not early:
             records.update(self._hint_records())
-        changed = {key: value for key, value in records.items() if value != self._stored.get(key)}
+        changed = {key: value for key, value in records.items() if value != self._stored_records.get(key)}
         info(
             "binding_round_completed",
             short=len(result.shortfalls),
@@ -120,62 +120,64 @@
         )
         if changed:
             self.stop()  # this round's records replace those not yet written
-            self._writing = asyncio.create_task(self._write(changed))
+            self._write_task = asyncio.create_task(self._write(changed))
 
-    # -- the round ----------------------------------------------------------------------------------
+    # -- binding ------------------------------------------------------------------------------------
 
     def _bind(self) -> BindingResult:
         machine_types = self.catalog.types.values()
-        unit = max((machine_type.size.gpus for machine_type in machine_types), default=1.0) or 1.0
+        gpus_per_unit = max((machine_type.size.gpus for machine_type in machine_types), default=1.0) or 1.0
         machines = [
-            self._view(machine, unit)
+            self._view(machine, gpus_per_unit)
             for machine in self.inventory.machines.values()
             if not machine.deleting and machine.reclaim_at is None
         ]
-        requests = [self._request(team, unit) for team in self.settings.teams.values()]
+        requests = [self._request(team, gpus_per_unit) for team in self.settings.teams.values()]
         return bind(machines, requests, self.assignments, self.settings.zones, self.settings.operator.alpha_extra)
 
-    def _view(self, machine: Machine, unit: float) -> MachineView:
+    def _view(self, machine: Machine, gpus_per_unit: float) -> MachineView:
         attempts = self.job_table.attempts_by_machine.get(machine.name, {})
         teams = frozenset(attempt.job.spec.team for attempt in attempts.values())
         return MachineView(
             name=machine.name,
             zone=machine.zone,
-            size=machine.type.size.gpus / unit,
+            size=machine.type.size.gpus / gpus_per_unit,
             idle=not attempts,
             teams=teams,
         )
 
-    def _request(self, team: Team, unit: float) -> ReservationRequest:
-        """What a team's demand asks for within its quota, in units of the largest machine."""
+    def _request(self, team: Team, gpus_per_unit: float) -> ReservationRequest:
+        """Return the demand of a team within its quota, in units of the largest machine."""
         gpus = self.scheduler.quotas.demand(team.name).gpus
         if team.gpus_max > 0:
             gpus = min(gpus, team.gpus_max)
-        desired = gpus / unit
-        return ReservationRequest(team.name, desired, team.gpus / unit, desired * self.settings.operator.buffer_share)
+        desired = gpus / gpus_per_unit
+        return ReservationRequest(
+            team.name, desired, team.gpus / gpus_per_unit, desired * self.settings.operator.buffer_share
+        )
 
     def _cluster_gpus(self) -> ClusterGpus:
         waiting = sum(
             job.spec.resources.gpus * job.waiting for job in self.job_table.jobs.values() if not job.cancelled
         )
-        sums = ClusterGpus(machines=len(self.inventory.machines), waiting=waiting)
+        cluster_gpus = ClusterGpus(machines=len(self.inventory.machines), waiting=waiting)
         for machine in self.inventory.machines.values():
             attempts = self.job_table.attempts_on(machine.name)
             used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.heartbeat_received:
-                sums.booting += machine.type.size.gpus
+                cluster_gpus.booting += machine.type.size.gpus
             elif not attempts:
-                sums.idle += machine.type.size.gpus
+                cluster_gpus.idle += machine.type.size.gpus
             else:
-                sums.stranded += machine.type.size.gpus - used
+                cluster_gpus.stranded += machine.type.size.gpus - used
             running = sum(
                 attempt.job.spec.resources.gpus for attempt in attempts if attempt.state is TaskState.RUNNING
             )
-            sums.running += running
-            sums.placed += used - running
-        return sums
+            cluster_gpus.running += running
+            cluster_gpus.placed += used - running
+        return cluster_gpus
 
-    # -- its records --------------------------------------------------------------------------------
+    # -- records of a round -------------------------------------------------------------------------
 
     def _reservation_records(self, result: BindingResult) -> dict[str, Any]:
         names_by_team: dict[str, list[str]] = {team: [] for team in self.settings.teams}
@@ -183,27 +185,29 @@
             names_by_team[team].append(name)
         records: dict[str, Any] = {}
         for team, names in names_by_team.items():
-            for number, page in enumerate(split_into_pages(names, self.settings.value_bytes * MAX_RECORD_FILL)):
+            for number, page in enumerate(
+                split_into_pages(names, self.settings.value_bytes * MAX_RECORD_FILL_FRACTION)
+            ):
                 records[keys.reservation(team, number)] = {"m": page}
-        for key in self._stored:
+        for key in self._stored_records:
             if key.startswith(keys.RESERVATION_PAGE) and key not in records:
                 records[key] = {"m": []}  # a reservation that has shrunk leaves an empty page
         return records
 
     def _hint_records(self) -> dict[str, Any]:
-        max_machines = max(1, self.settings.value_bytes // HINT_BYTES_PER_MACHINE)
+        max_machines = max(1, self.settings.value_bytes // MAX_HINT_BYTES_PER_MACHINE)
         hints = encode_image_hints(self.inventory.machines.values(), max_machines)
         return {f"{keys.IMAGE_HINTS}{number}": record for number, record in enumerate(hints)}
 
     async def _write(self, changed: dict[str, Any]) -> None:
-        """Write the records that changed, reservations first, with what jobs leave of the write rate.
+        """Write the changed records, reservations first, with the part of the write rate that jobs leave.
 
-        In a large cluster there are dozens, enough to hold up launches and completions for seconds.
+        A large cluster has dozens of changed records, enough to delay launches and completions for seconds.
         """
         pending = sorted(changed, key=lambda key: (key.startswith(keys.IMAGE_HINTS), key))
         while pending:
-            while self.store.writes.available_fraction(monotonic_time()) < MIN_FREE_WRITES:
-                await asyncio.sleep(self.settings.report_s * WRITE_POLL)
+            while self.store.write_bucket.available_fraction(monotonic_time()) < MIN_FREE_WRITE_FRACTION:
+                await asyncio.sleep(self.settings.report_s * WRITE_POLL_HEARTBEATS)
             count = self._records_per_commit()
             batch, pending = pending[:count], pending[count:]
             changes: list[Write] = [Put(key, changed[key]) for key in batch]
@@ -215,10 +219,10 @@
                 self.leadership.step_down("leader key lost")
                 return
             for key in batch:
-                self._stored[key] = changed[key]
+                self._stored_records[key] = changed[key]
 
     def _records_per_commit(self) -> int:
-        """As many as leave half of the available writes to jobs and fit the limits of a transaction."""
-        by_rate = int(self.store.writes.burst * MIN_FREE_WRITES / 2)
-        count = max(1, min(self.settings.txn_ops, by_rate))
+        """Return how many records fit the limits of a transaction and leave half of the available writes to jobs."""
+        max_by_rate = int(self.store.write_bucket.burst * MIN_FREE_WRITE_FRACTION / 2)
+        count = max(1, min(self.settings.txn_ops, max_by_rate))
         return min(count, max(1, TXN_BYTES // self.settings.value_bytes))
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -66,7 +66,7 @@
             + WRITES_PER_FINALIZATION * len(self.job_table.finalizing)
             + len(self.orphaned_keys)
         )
-        return writes / self.store.writes.rate
+        return writes / self.store.write_bucket.rate
 
     async def run(self) -> None:
         """Commit for ever."""
@@ -86,7 +86,7 @@
         A transaction of full size spent the rate for a second ahead, and what users sent meanwhile waited as
         long. After a second without enough left, it takes its turn behind them.
         """
-        budget = self.store.writes
+        budget = self.store.write_bucket
         least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
         reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -1,4 +1,4 @@
-"""The leader's evaluation of all jobs and machines: failure detection, scheduling, preemption, scaling, binding."""
+"""The leader's evaluation loop: failure detection, scheduling, preemption, scaling and binding rounds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from passrock.controller.autoscaler import Autoscaler
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
-from passrock.controller.evaluations import Evaluations
+from passrock.controller.evaluations import EvaluationSignals
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.leadership import Leadership
 from passrock.controller.renewal_policy import RenewalPolicy
@@ -24,16 +24,19 @@
 from passrock.logs import info
 from passrock.settings import Settings
 
-PAUSE_FACTOR = 2.0  # times the time an evaluation took, until the next one
-MINIMUM_PAUSES = 20  # in a heartbeat interval: the shortest pause between two evaluations
-IDLE_EVALUATIONS = 4  # in a heartbeat interval when nothing requests one
-PLAN_INTERVAL = 0.4  # heartbeat intervals between two plans of preemption and scaling
+PAUSE_RATIO = 2.0  # the pause after an evaluation, as a multiple of its duration
+MAX_EVALUATIONS_PER_HEARTBEAT = 20  # sets the shortest pause between two evaluations
+IDLE_EVALUATIONS_PER_HEARTBEAT = 4  # without a request
+PLAN_INTERVAL_HEARTBEATS = 0.4  # between two evaluations that detect failures and plan
 
 EvaluationObserver = Callable[[Scheduler, list[TaskAttempt], float], None]
 
 
 class EvaluationLoop:
-    """Evaluates on request and at intervals; plans, which cost more, are made less often."""
+    """Runs evaluations on request and at intervals.
+
+    Failure detection and the planning of preemption and scaling cost more and run in only some evaluations.
+    """
 
     def __init__(
         self,
@@ -47,9 +50,9 @@
         preemption: Preemption,
         failure_detector: FailureDetector,
         autoscaler: Autoscaler,
-        rounds: BindingRounds,
+        binding_rounds: BindingRounds,
         commit_queue: CommitQueue,
-        evaluations: Evaluations,
+        evaluations: EvaluationSignals,
     ) -> None:
         self.settings = settings
         self.leadership = leadership
@@ -61,61 +64,65 @@
         self.preemption = preemption
         self.failure_detector = failure_detector
         self.autoscaler = autoscaler
-        self.rounds = rounds
+        self.binding_rounds = binding_rounds
         self.commit_queue = commit_queue
         self.evaluations = evaluations
         self._observers: list[EvaluationObserver] = []
-        self._last_evaluation = monotonic_time()
-        self._plan_due = 0.0
+        self._last_evaluated_at = monotonic_time()
+        self._plan_due_at = 0.0
 
     def subscribe(self, observer: EvaluationObserver) -> None:
-        """Call ``observer`` after each scheduling pass with the scheduler, the new attempts and the time."""
+        """Call ``observer`` after each scheduling pass with the scheduler, the new attempts and ``now``."""
         self._observers.append(observer)
 
     def plan_now(self) -> None:
-        """Make the next evaluation plan preemption and scaling too."""
-        self._plan_due = 0.0
+        """Make the next evaluation include failure detection and planning."""
+        self._plan_due_at = 0.0
 
     async def run(self) -> None:
         """Evaluate until cancelled.
 
-        An evaluation takes longer the more there is: it may have a part of the processor, never all of it.
+        The pause after an evaluation grows with its duration, so that evaluations of a large cluster leave processor
+        time for other work.
         """
         heartbeat_interval = self.settings.report_s
         while True:
-            await self.evaluations.wait_for_request(heartbeat_interval / IDLE_EVALUATIONS)
-            began = monotonic_time()
+            await self.evaluations.wait_for_request(heartbeat_interval / IDLE_EVALUATIONS_PER_HEARTBEAT)
+            started_at = monotonic_time()
             self.evaluate()
-            pause = (monotonic_time() - began) * PAUSE_FACTOR
-            await asyncio.sleep(max(heartbeat_interval / MINIMUM_PAUSES, pause))
+            pause = (monotonic_time() - started_at) * PAUSE_RATIO
+            await asyncio.sleep(max(heartbeat_interval / MAX_EVALUATIONS_PER_HEARTBEAT, pause))
 
     def evaluate(self) -> None:
-        """One evaluation; without the leader's lease, only what must go on through an outage of the store."""
+        """Run one evaluation; without the leader's lease, only what must continue through an outage of the store."""
         now = monotonic_time()
-        self._notice_own_pause(now)
+        self._detect_process_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.delete_with_cancelled_tasks(now)  # cancel_s runs on through an outage
+                self.failure_detector.delete_with_cancelled_tasks(now)  # cancel_s also applies during an outage
             return
         self.fence.check()
-        planning = now >= self._plan_due
-        if planning:
-            self._plan_due = now + self.settings.report_s * PLAN_INTERVAL
+        plan_due = now >= self._plan_due_at
+        if plan_due:
+            self._plan_due_at = now + self.settings.report_s * PLAN_INTERVAL_HEARTBEATS
             self.failure_detector.evaluate(now)
         self._schedule(now)
-        if planning:
+        if plan_due:
             self._preempt(self.scheduler.waiting, now)
             self.autoscaler.adjust(self.scheduler.waiting, now)
-        self.rounds.run_if_due(now)
+        self.binding_rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
-        self.evaluations.note_finished()
+        self.evaluations.record_finished()
+
+    def _detect_process_pause(self, now: float) -> None:
+        """Restart the observation of machines after a pause of this process.
 
-    def _notice_own_pause(self, now: float) -> None:
-        """If this process was paused, heartbeats missed in that time prove nothing."""
-        if now - self._last_evaluation > self.settings.report_s:
+        Heartbeats missed during the pause prove nothing.
+        """
+        if now - self._last_evaluated_at > self.settings.report_s:
             self.inventory.health.observing_since = now
-        self._last_evaluation = now
+        self._last_evaluated_at = now
 
     def _schedule(self, now: float) -> None:
         placed = self.scheduler.run(now)
@@ -145,7 +152,7 @@
     def _stop(self, victim: TaskAttempt, job: Job, now: float) -> None:
         info("task_preempted", job=victim.job.spec.id, task=victim.index, machine=victim.machine, by=job.spec.id)
         stop_gracefully(victim, self.settings.gang_peer_s)
-        if victim.is_unlaunched:  # no answer has carried its launch: the capacity is free at once
+        if victim.is_unlaunched:  # its launch was never sent: the capacity is free at once
             self.job_table.attempt_lost(victim, now)
             self.evaluations.request()
         machine = self.inventory.machines.get(victim.machine)
--- a/src/passrock/controller/evaluations.py
+++ b/src/passrock/controller/evaluations.py
@@ -1,24 +1,24 @@
-"""Signals between the evaluation loop and its surroundings: requests for an evaluation, and its progress."""
+"""Signals to and from the evaluation loop: requests for an evaluation, and progress."""
 
 from __future__ import annotations
 
 import asyncio
 
 
-class Evaluations:
-    """Wakes the leader's evaluation loop, and whoever waits for what an evaluation decides.
+class EvaluationSignals:
+    """Passes requests to the leader's evaluation loop, and its progress to coroutines that wait for it.
 
     Attributes:
-        finished_count: how many evaluations have finished in this term.
+        finished_count: the number of evaluations finished in this term.
     """
 
     def __init__(self) -> None:
         self.finished_count = 0
         self._requested = asyncio.Event()
-        self._progress = asyncio.Event()  # replaced at each progress, so that it wakes those who waited before
+        self._progress = asyncio.Event()  # replaced when set, so that later waits block again
 
     def request(self) -> None:
-        """Ask for an evaluation, since something has changed; several requests are served by one."""
+        """Request an evaluation; one evaluation serves all requests made before it."""
         self._requested.set()
 
     async def wait_for_request(self, timeout_s: float) -> None:
@@ -26,18 +26,18 @@
         await _is_set_within(self._requested, timeout_s)
         self._requested.clear()
 
-    def note_finished(self) -> None:
-        """An evaluation has finished."""
+    def record_finished(self) -> None:
+        """Count a finished evaluation and notify the waiting coroutines."""
         self.finished_count += 1
-        self.note_progress()
+        self.notify_progress()
 
-    def note_progress(self) -> None:
-        """An evaluation has finished or its records are committed: answers that wait for either go on."""
+    def notify_progress(self) -> None:
+        """Resume the coroutines that wait for a finished evaluation or a commit of its records."""
         self._progress.set()
         self._progress = asyncio.Event()
 
     async def wait_for_progress(self, timeout_s: float) -> bool:
-        """Whether an evaluation or a commit finishes within ``timeout_s``."""
+        """Wait for progress; return whether an evaluation or a commit finished within ``timeout_s``."""
         return await _is_set_within(self._progress, timeout_s)
 
 
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -1,4 +1,7 @@
-"""Who may answer a worker's heartbeat: the leader, or during an outage whoever may renew leases; others redirect."""
+"""Workers' heartbeats at any controller.
+
+The leader answers them, or in an outage of the store any controller that may renew leases; the others redirect.
+"""
 
 from __future__ import annotations
 
@@ -34,11 +37,11 @@
         self.current_term = current_term
 
     def handle(self, request: Request) -> Response | Awaitable[Response]:
-        """200 with commands, 421 with the controller to go to, or 503; 400 for a malformed body."""
+        """Return 200 with commands, 421 with the controller to contact, or 503; 400 for a malformed body."""
         try:
             heartbeat = worker_wire.parse_heartbeat(request.body)
-        except MalformedBodyError as problem:
-            return Response(400, user_wire.error_answer(str(problem)))
+        except MalformedBodyError as exc:
+            return Response(400, user_wire.error_answer(str(exc)))
         leadership = self.leadership
         leadership.observe_term(heartbeat.token)
         if not self.renewal.may_renew():
@@ -51,7 +54,7 @@
             return Response(503)
         if isinstance(commands, list):
             return Response(200, worker_wire.answer(leadership.term, commands))
-        return self._answer_later(commands, leadership.term)
+        return self._answer_when_ready(commands, leadership.term)
 
     def _answer_as_follower(self, heartbeat: WorkerHeartbeat) -> Response:
         if self.renewal.may_renew_leaderless(heartbeat.token):
@@ -60,16 +63,16 @@
         return Response(421, worker_wire.redirect(node))
 
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """What a controller without a job table can and must command: tasks of cancelled jobs end."""
+        """Return commands to stop the tasks of cancelled jobs, the only ones that need no job table."""
         return [
             Command(CommandKind.STOP, task.job, task.index, task.attempt_number)
             for task in heartbeat.tasks
             if task.job in self.cancellations and task.state is not TaskState.EXITED
         ]
 
-    async def _answer_later(self, work: Awaitable[list[Command] | None], term: int) -> Response:
+    async def _answer_when_ready(self, pending_commands: Awaitable[list[Command] | None], term: int) -> Response:
         """Answer once the launches are committed, if this controller may still act under the same term."""
-        commands = await work
+        commands = await pending_commands
         if commands is None:
             return Response(503)
         if not self.renewal.may_renew() or self.leadership.term != term:
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: what the leader answers, and how long an answer waits for new launches."""
+"""Workers' heartbeats at the leader: the commands in the answer, and how long it waits for new launches."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
-from passrock.controller.evaluations import Evaluations
+from passrock.controller.evaluations import EvaluationSignals
 from passrock.controller.leadership import Leadership
 from passrock.controller.renewal_policy import RenewalPolicy
 from passrock.core.graceful_stop import drain_machine
@@ -20,7 +20,7 @@
 from passrock.logs import info
 from passrock.settings import Settings
 
-ANSWER_DELAY = 0.25  # of the heartbeat interval, the most that an answer waits for an evaluation and its commit
+MAX_ANSWER_DELAY_HEARTBEATS = 0.25  # the longest wait for an evaluation and its commit
 
 
 class HeartbeatHandler:
@@ -35,8 +35,8 @@
         inventory: MachineInventory,
         catalog: MachineCatalog,
         commit_queue: CommitQueue,
-        rounds: BindingRounds,
-        evaluations: Evaluations,
+        binding_rounds: BindingRounds,
+        evaluations: EvaluationSignals,
     ) -> None:
         self.settings = settings
         self.renewal = renewal
@@ -44,27 +44,27 @@
         self.inventory = inventory
         self.catalog = catalog
         self.commit_queue = commit_queue
-        self.rounds = rounds
+        self.binding_rounds = binding_rounds
         self.evaluations = evaluations
         self.reconciler = Reconciler(job_table, inventory, leadership.term)
 
     def handle(self, heartbeat: WorkerHeartbeat) -> list[Command] | Awaitable[list[Command] | None] | None:
-        """Commands for a worker, whose lease is renewed by the answer; None when it must get no answer.
+        """Return the commands for a worker, whose lease the answer renews; None when it must get no answer.
 
-        An unchanged heartbeat takes a short path: placing tasks is the work of evaluations. When the heartbeat frees
-        capacity, its answer waits for the next evaluation and commit, for a small part of the heartbeat interval, so
-        that what is placed there goes into it.
+        An unchanged heartbeat is answered at once, since tasks are placed by evaluations. When the heartbeat frees
+        capacity, the answer waits for the next evaluation and commit, for a small part of the heartbeat interval, so
+        that it includes the launches on that capacity.
         """
         now = monotonic_time()
         machine_type = self.catalog.types.get(heartbeat.type)
         if machine_type is None:
-            # nothing is known of such a machine's tasks, and every renewal must be recorded in the inventory
+            # its tasks can't be reconciled, and every renewal must be recorded in the inventory
             return None
         known = self.inventory.machines.get(heartbeat.machine)
         was_usable = known is not None and known.heartbeat_received and known.acknowledged_term
         machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
-            return None  # a late copy, or of a machine that is deleted: an answer could only renew by mistake
+            return None  # a late copy, or from a deleted machine: an answer would renew its lease by mistake
         may_launch = self.renewal.may_launch()
         result = self.reconciler.handle(machine, heartbeat, now, may_launch=may_launch)
         if result.changed:
@@ -73,18 +73,18 @@
         if self.job_table.uncommitted or self.job_table.finalizing:
             self.commit_queue.wake.set()
         if machine.deleting:
-            return None  # its deletion may take long: unanswered, its lease ends as well
+            return None  # the deletion may take long; without answers the lease expires too
         machine.last_answer_at = now
         if machine.reclaim_at is not None:
             drain_machine(self.job_table, machine.name)
         if machine.acknowledged_term and not was_usable:
-            self._machine_registered(machine)
+            self._on_machine_registered(machine)
         if result.changed or self._awaits_launch(machine):
-            return self._with_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
+            return self._add_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
         return result.commands
 
-    def _machine_registered(self, machine: Machine) -> None:
-        self.rounds.bring_forward()
+    def _on_machine_registered(self, machine: Machine) -> None:
+        self.binding_rounds.bring_forward()
         info("machine_registered", machine=machine.name, zone=machine.zone, spot=machine.spot)
         self.evaluations.request()
 
@@ -94,11 +94,11 @@
             attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values()
         )
 
-    async def _with_late_launches(
+    async def _add_late_launches(
         self, machine: Machine, heartbeat: WorkerHeartbeat, commands: list[Command], evaluations_before: int
     ) -> list[Command] | None:
-        """The commands with the launches that a further evaluation and its commit add in time."""
-        deadline = monotonic_time() + self.settings.report_s * ANSWER_DELAY
+        """Return the commands and the launches that a further evaluation and its commit add before the deadline."""
+        deadline = monotonic_time() + self.settings.report_s * MAX_ANSWER_DELAY_HEARTBEATS
         while monotonic_time() < deadline:
             attempts = self.job_table.attempts_on(machine.name)
             if self.evaluations.finished_count > evaluations_before and all(
@@ -117,14 +117,14 @@
 
 def _log_changes(result: ReconciliationResult, machine: Machine, now: float) -> None:
     for attempt in result.started:
-        after = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
-        info("task_started", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after)
-    for ended in result.exits:
+        after_s = round(now - attempt.placed_at, 1) if attempt.placed_this_term else "?"
+        info("task_started", job=attempt.job.spec.id, task=attempt.index, machine=machine.name, after_s=after_s)
+    for task_exit in result.exits:
         info(
             "task_exited",
-            job=ended.attempt.job.spec.id,
-            task=ended.attempt.index,
-            attempt=ended.attempt.number,
+            job=task_exit.attempt.job.spec.id,
+            task=task_exit.attempt.index,
+            attempt=task_exit.attempt.number,
             machine=machine.name,
-            reason=ended.reason + ("+saved" if ended.saved else ""),
+            reason=task_exit.reason + ("+saved" if task_exit.saved else ""),
         )
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -24,20 +24,20 @@
 from passrock.settings import Settings
 from passrock.wire.store import Entry
 
-FENCE_TRIES = 3
+MAX_FENCE_ATTEMPTS = 3
 DIRECT_READ_TIMEOUT_S = 0.8
 
-# The statuses of a job that has not ended; those of one that has are in its final record.
+# Statuses of a job that has not ended; the status of an ended job is in its final record.
 QUEUED = "queued"
 RUNNING = "running"
 
 
 class UnavailableError(Exception):
-    """The state of a job can't be proved current now; the user is asked to retry."""
+    """The state of a job can't be proved current at present; the user is asked to retry."""
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """A job's status as users see it; ``done`` and ``running`` count its tasks."""
+    """A job's status as shown to users; ``done`` and ``running`` count its tasks."""
 
     status: str
     done: int = 0
@@ -57,14 +57,14 @@
         self.fence = ReadFence(store, replica, 1.0 / settings.state_rps)
 
     def is_known(self, job_id: str) -> bool:
-        """Whether the replica shows that the job was accepted once."""
+        """Whether the replica contains the job, unfinished or ended."""
         return job_id in self.replica.finals or self.replica.get(keys.job(job_id)) is not None
 
     async def find(self, job_id: str) -> JobStatus | None:
-        """The job's state, not older than this call; None when there is no such job.
+        """Return the job's state, not older than this call; None when there is no such job.
 
         Raises:
-            UnavailableError: the store is down, so that nothing can be proved.
+            UnavailableError: the store is unavailable, so that no state can be proved current.
             StoreError: a read of the store failed.
         """
         final = self._cached_final(job_id)
@@ -76,12 +76,12 @@
         return self._cached_final(job_id) or await self._read_final(job_id)
 
     async def _find_unfinished(self, job_id: str) -> JobStatus | None:
-        """The state of a job that has not ended, from the replica if it can be proved current."""
-        for _ in range(FENCE_TRIES):
+        """Return the state of a job that has not ended, from the replica if that can be proved current."""
+        for _ in range(MAX_FENCE_ATTEMPTS):
             if await self.fence.wait():
                 return self._from_replica(job_id)
             if self.store.is_unavailable(monotonic_time(), 0.0):
-                raise UnavailableError("the state service is down")
+                raise UnavailableError("the key-value store is unavailable")
         return await self._read_unfinished(job_id)
 
     def _cached_final(self, job_id: str) -> JobStatus | None:
@@ -104,7 +104,7 @@
         return JobStatus(RUNNING if running else QUEUED, done, running)
 
     async def _read_unfinished(self, job_id: str) -> JobStatus | None:
-        """Read the store itself, since the replica lags: whether the job is cancelled has to be read as well."""
+        """Read the store itself, since the replica lags; the cancellation has its own key and is read as well."""
         entry = await self._read(keys.job(job_id))
         if entry is None:
             return None
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -10,7 +10,7 @@
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluation_loop import EvaluationLoop
-from passrock.controller.evaluations import Evaluations
+from passrock.controller.evaluations import EvaluationSignals
 from passrock.controller.failure_detector import FailureDetector
 from passrock.controller.heartbeat_handler import HeartbeatHandler
 from passrock.controller.leadership import Leadership
@@ -79,7 +79,7 @@
         )
         self.inventory = MachineInventory(health, self.leadership.term)
         self.assignments: dict[str, str] = {}  # machine -> team, as binding rounds leave them
-        self.evaluations = Evaluations()
+        self.evaluations = EvaluationSignals()
 
     def _build_decisions(self, settings: Settings) -> None:
         operator = settings.operator
@@ -96,7 +96,7 @@
             leadership.leader_revision,
             settings.txn_ops,
             on_finalized=self.replica.note_final,
-            on_committed=self.evaluations.note_progress,
+            on_committed=self.evaluations.notify_progress,
             on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
         self.provisioner = Provisioner(
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -110,7 +110,7 @@
 
     async def _revoke_lease(self, lease_id: int) -> None:
         try:
-            await self.store.end_lease(lease_id)
+            await self.store.revoke_lease(lease_id)
         except StoreError as problem:
             info("leader_lease_revocation_failed", error=problem)  # it expires by itself
 
@@ -137,7 +137,7 @@
         started = monotonic_time()
         timeout = self.lease_ttl_s / RENEWAL_TIMEOUTS_PER_LEASE
         try:
-            await self.store.renew(self._lease_id, timeout=timeout)
+            await self.store.renew_lease(self._lease_id, timeout=timeout)
         except LeaseExpiredError:
             self.step_down("lease ended")
             return
@@ -171,7 +171,7 @@
         """Try to acquire the leader key, as the replica shows it, together with the next term."""
         await asyncio.sleep(self.rng.random() * self.lease_ttl_s / JITTER_PER_LEASE)
         started = monotonic_time()
-        lease_id = await self.store.new_lease(self.lease_ttl_s)
+        lease_id = await self.store.create_lease(self.lease_ttl_s)
         term = max(self.known_term, int(stored_term.value) if stored_term else 0) + 1
         conditions = {
             keys.LEADER: leader.mod_revision if leader else 0,
@@ -185,10 +185,10 @@
             result = await self.store.commit(conditions, writes)
         except UnknownOutcomeError:
             # it may have been applied, or may be later: ending the lease makes it fail, or removes the key
-            await self.store.end_lease(lease_id)
+            await self.store.revoke_lease(lease_id)
             return
         if not isinstance(result, Committed):
-            await self.store.end_lease(lease_id)
+            await self.store.revoke_lease(lease_id)
             return
         self._lead(term, lease_id, result.revision, started)
 
--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -1,4 +1,4 @@
-"""This controller's own heartbeat to its peers: role, term, its view of the store, and what it knows."""
+"""This controller's heartbeat to its peers: role, term, state of the store, and completeness of its data."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LocalHeartbeat:
-    """Makes this controller's heartbeat as of the moment of the call."""
+    """Builds this controller's heartbeat from its state at the time of the call."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.redirects = redirects
 
     def __call__(self) -> PeerHeartbeat:
-        """The heartbeat, without the log of cancellations."""
+        """Return the heartbeat, without the log of cancellations."""
         now = monotonic_time()
         return PeerHeartbeat(
             node=self.node,
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -113,8 +113,8 @@
         """The leader needs most of the store's rates; the others share the rest."""
         share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
-            (self.store.requests, self.settings.state_rps),
-            (self.store.writes, self.settings.state_write_rps),
+            (self.store.request_bucket, self.settings.state_rps),
+            (self.store.write_bucket, self.settings.state_write_rps),
         ):
             budget.rate = rate * share
             budget.burst = rate * share
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -1,4 +1,4 @@
-"""Machines requested from the cloud and deleted again; requests survive a change of leader, deletions are retried."""
+"""Provisioning and deletion of machines; requests survive a change of leader, deletions are retried."""
 
 from __future__ import annotations
 
@@ -26,40 +26,40 @@
 
 RETRY_S = 1.0
 MIN_LIST_INTERVAL_S = 2.0
-UNAVAILABLE_BOOT_RATIO = 0.5  # of a type's boot time, for which an offering without capacity is not asked for again
-OUTBOUND_LEASES = 2  # a listed machine that sends no heartbeat for so many leases can't reach the controllers
-LISTED_LAGS = 4  # list lags after which a machine is certain to be in the cloud's list
+UNAVAILABLE_BOOT_RATIO = 0.5  # of the type's boot time: how long an offering without capacity is not requested
+OUTBOUND_TIMEOUT_LEASES = 2  # a listed machine without a heartbeat for this long can't reach the controllers
+LISTED_AFTER_LIST_LAGS = 4  # after this time a machine is certain to be in the cloud's list
 
 
 class ProvisioningIntent(msgspec.Struct, frozen=True):
-    """The stored record of a request, written before it is sent so that the next leader can repeat it.
+    """The stored record of a request, written before the request is sent so that the next leader can repeat it.
 
-    The request's name makes it idempotent: the cloud answers a repeated one with the machines of the first.
+    The request's name makes it idempotent: the cloud answers a repeated request with the machines of the first.
     """
 
     offering: MachineOffering
     count: int
 
     def encode(self) -> dict[str, Any]:
-        """The stored form."""
+        """Return the stored form."""
         offering = self.offering
         return {"ty": offering.machine_type, "z": offering.zone, "sp": offering.spot, "n": self.count}
 
     @classmethod
     def decode(cls, record: dict[str, Any]) -> ProvisioningIntent:
-        """The reverse of ``encode``; KeyError if the record lacks a field."""
+        """Return the intent of a stored record; raises KeyError if a field is missing."""
         return cls(MachineOffering(record["ty"], record["z"], record["sp"]), record["n"])
 
 
 class Provisioner:
-    """The leader's requests to the cloud.
+    """Sends the leader's requests to the cloud.
 
     Args:
         settings: the node's settings.
         store: where intents are stored.
         cloud: the cloud's client.
-        catalog: is given the current machine types, and the offerings without capacity.
-        inventory: machines are added as they are provisioned or listed, and recorded as deleted.
+        catalog: updated with the current machine types and the offerings without capacity.
+        inventory: updated with the machines that are provisioned, listed or deleted.
         leadership: requests are sent only while this node leads.
         on_machine_lost: called with a machine's name when the cloud has confirmed its deletion.
         on_change: called when a request has ended or an unknown machine was listed.
@@ -84,8 +84,8 @@
         self.leadership = leadership
         self.on_machine_lost = on_machine_lost
         self.on_change = on_change
-        self._requested: set[MachineOffering] = set()
-        self._requests: set[asyncio.Task[None]] = set()
+        self._requested_offerings: set[MachineOffering] = set()
+        self._request_tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
         self._deletion_queue: dict[str, None] = {}
         self._deletion_queued = asyncio.Event()
@@ -95,12 +95,12 @@
 
     def provision(self, offering: MachineOffering, count: int) -> None:
         """Request up to ``count`` machines, unless a request for the same offering is in progress."""
-        if offering in self._requested:
+        if offering in self._requested_offerings:
             return
         self._request_count += 1
         name = f"{self.leadership.term}-{self._request_count}"
         intent = ProvisioningIntent(offering, min(count, MAX_MACHINES_PER_REQUEST))
-        self._requested.add(offering)
+        self._requested_offerings.add(offering)
         self._spawn(self._provision(name, intent, stored=False))
 
     def resume_requests(self, intents: list[Entry]) -> None:
@@ -109,10 +109,10 @@
             intent = ProvisioningIntent.decode(entry.value)
             self._spawn(self._provision(entry.key[len(keys.PROVISIONING_INTENT) :], intent, stored=True))
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
-        self._requests.add(task)
-        task.add_done_callback(self._requests.discard)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
+        self._request_tasks.add(task)
+        task.add_done_callback(self._request_tasks.discard)
 
     async def _provision(self, name: str, intent: ProvisioningIntent, *, stored: bool) -> None:
         try:
@@ -125,10 +125,10 @@
                     self.leadership.step_down("leader key lost")
                     return
             await self._request(name, intent)
-        except StoreError as problem:
-            debug("provisioning_intent_failed", request=name, error=problem)
+        except StoreError as exc:
+            debug("provisioning_intent_failed", request=name, error=exc)
         finally:
-            self._requested.discard(intent.offering)
+            self._requested_offerings.discard(intent.offering)
             self.on_change()
 
     async def _request(self, name: str, intent: ProvisioningIntent) -> None:
@@ -136,14 +136,14 @@
         offering = intent.offering
         while self.leadership.leading:
             try:
-                machines = await self.cloud.rent(
+                machines = await self.cloud.provision(
                     name, offering.machine_type, offering.zone, offering.spot, intent.count
                 )
             except NoCapacityError:
                 self._mark_unavailable(offering)
                 machines = ()
-            except CloudError as problem:
-                debug("provisioning_failed", request=name, error=problem)
+            except CloudError as exc:
+                debug("provisioning_failed", request=name, error=exc)
                 await asyncio.sleep(RETRY_S)
                 continue
             info(
@@ -173,7 +173,7 @@
     async def _delete_intent(self, name: str, *, has_machines: bool) -> None:
         """Delete an intent once the next leader would find its machines in the cloud's list."""
         if has_machines:
-            await asyncio.sleep(self.settings.list_lag_s * LISTED_LAGS)
+            await asyncio.sleep(self.settings.list_lag_s * LISTED_AFTER_LIST_LAGS)
         try:
             await self.store.commit(
                 {keys.LEADER: self.leadership.leader_revision}, [Delete(keys.PROVISIONING_INTENT + name)]
@@ -184,27 +184,27 @@
     # -- deprovisioning -----------------------------------------------------------------------------
 
     def deprovision(self, machine: Machine) -> None:
-        """Have a machine deleted; nothing is placed on it from now on."""
+        """Queue a machine for deletion; no task is placed on it from now on."""
         machine.deleting = True
         self.deprovision_by_name(machine.name)
 
     def deprovision_by_name(self, name: str) -> None:
-        """Have a machine deleted that may not be in the inventory."""
+        """Queue a machine for deletion by its name; it need not be in the inventory."""
         if name not in self._deletion_queue:
             self._deletion_queue[name] = None
             self._deletion_queued.set()
 
     async def run_deletions(self) -> None:
-        """Delete queued machines, for ever."""
+        """Delete queued machines until cancelled."""
         while True:
             await self._deletion_queued.wait()
             self._deletion_queued.clear()
             while self._deletion_queue:
                 names = list(self._deletion_queue)[:MAX_PER_DELETE]
                 try:
-                    await self.cloud.delete(names)
-                except CloudError as problem:
-                    debug("machine_deletion_failed", count=len(names), error=problem)
+                    await self.cloud.delete_machines(names)
+                except CloudError as exc:
+                    debug("machine_deletion_failed", count=len(names), error=exc)
                     await asyncio.sleep(RETRY_S)
                     continue
                 for name in names:
@@ -216,34 +216,42 @@
     # -- the cloud's list ---------------------------------------------------------------------------
 
     async def poll_machine_list(self) -> None:
-        """Read the cloud's list at intervals, for ever: the only source on machines that send no heartbeats."""
+        """Read the cloud's list at intervals until cancelled; only it shows machines that send no heartbeats."""
         while True:
             try:
-                self._process_list(await self.cloud.machines())
-                self.catalog.types = await self.cloud.machine_types()
-            except CloudError as problem:
-                debug("machine_list_failed", error=problem)
+                self._process_list(await self.cloud.list_machines())
+                self.catalog.types = await self.cloud.list_machine_types()
+            except CloudError as exc:
+                debug("machine_list_failed", error=exc)
             await asyncio.sleep(max(self.settings.list_lag_s, MIN_LIST_INTERVAL_S))
 
-    def _process_list(self, rows: list[ListedMachine]) -> None:
+    def _process_list(self, listed_machines: list[ListedMachine]) -> None:
         now = monotonic_time()
-        for row in rows:
-            machine_type = self.catalog.types.get(row.type)
-            if row.name in self.inventory.deleted or machine_type is None:
+        for listed in listed_machines:
+            machine_type = self.catalog.types.get(listed.type)
+            if listed.name in self.inventory.deleted or machine_type is None:
                 continue
-            known = row.name in self.inventory.machines
-            machine = self.inventory.add(row.name, machine_type, row.zone, spot=row.spot, now=now, age=row.age)
-            if not known:
-                info("machine_discovered", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
+            is_known = listed.name in self.inventory.machines
+            machine = self.inventory.add(
+                listed.name, machine_type, listed.zone, spot=listed.spot, now=now, age=listed.age
+            )
+            if not is_known:
+                info(
+                    "machine_discovered",
+                    machine=listed.name,
+                    zone=listed.zone,
+                    spot=listed.spot,
+                    status=listed.status,
+                )
                 self.on_change()
-            if row.status == "failed":
+            if listed.status == "failed":
                 self.deprovision(machine)
-            elif row.status == "running" and not machine.heartbeat_received:
+            elif listed.status == "running" and not machine.heartbeat_received:
                 self._check_outbound(machine, now)
 
     def _check_outbound(self, machine: Machine, now: float) -> None:
-        """Delete a machine that has run for long without a heartbeat: its outbound direction is broken."""
+        """Delete a machine that has run for long without sending a heartbeat: it is unreachable outbound."""
         running_since = self._listed_running_since.setdefault(machine.name, now)
-        if now - running_since > self.settings.lease_s * OUTBOUND_LEASES and not machine.deleting:
+        if now - running_since > self.settings.lease_s * OUTBOUND_TIMEOUT_LEASES and not machine.deleting:
             info("machine_unreachable_outbound", machine=machine.name)
             self.deprovision(machine)
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -41,7 +41,7 @@
         Reads that waited for their turn one by one grew into a queue of seconds, also for submissions. Until
         this one is sent everybody joins it, so that there is never more than one.
         """
-        requests = self.store.requests
+        requests = self.store.request_bucket
         return min(READ_WAIT_S, requests.time_until_available(monotonic_time(), keep=requests.burst * COMMIT_SHARE))
 
     async def _read(self) -> bool:
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -74,11 +74,11 @@
                 if not self.loaded:
                     await self._load()
                 started = monotonic_time()
-                changes, revision = await self.store.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
+                changes, revision = await self.store.watch(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
                 self.apply(changes, revision)
                 self.mark_complete(started)
                 # each new watch is a request: at a high rate of changes it waits, and brings several at a time
-                await asyncio.sleep(WATCH_GAP_REQUESTS / self.store.requests.rate)
+                await asyncio.sleep(WATCH_GAP_REQUESTS / self.store.request_bucket.rate)
             except CompactedError:
                 self.loaded = False
             except StoreError:
@@ -107,7 +107,7 @@
         for prefix in self.prefixes:
             after = ""
             while True:
-                rows, more, revision = await self.store.page(prefix, after)
+                rows, more, revision = await self.store.list_page(prefix, after)
                 lowest = revision if lowest is None else min(lowest, revision)
                 entries.update((row.key, row) for row in rows)
                 if not more or not rows:
--- a/src/passrock/controller/request_limits.py
+++ b/src/passrock/controller/request_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the users' requests in progress: one for reads, one for writes."""
+"""Limits on the users' concurrent requests, with separate limiters for reads and writes."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 from passrock.settings import Settings
 from passrock.wire import users as wire
 
-INITIAL_IN_PROGRESS = 32  # requests, before any time has been measured
-MINIMUM_IN_PROGRESS = 4
+INITIAL_CONCURRENT_REQUESTS = 32  # the limit before any latency has been measured
+MIN_CONCURRENT_REQUESTS = 4
 
 Work = Coroutine[Any, Any, Response]
 
 
-def request_limiter(settings: Settings, slack_s: float) -> AdaptiveConcurrencyLimiter:
-    """A limiter for one kind of requests; up to ``slack_s`` above the best latency is no sign of a queue."""
-    maximum = max(MINIMUM_IN_PROGRESS * 2, settings.fd_limit // 2)
-    return AdaptiveConcurrencyLimiter(INITIAL_IN_PROGRESS, MINIMUM_IN_PROGRESS, maximum, slack_s)
+def make_request_limiter(settings: Settings, slack_s: float) -> AdaptiveConcurrencyLimiter:
+    """Return a limiter for one kind of request; up to ``slack_s`` above the lowest latency indicates no queue."""
+    maximum = max(MIN_CONCURRENT_REQUESTS * 2, settings.fd_limit // 2)
+    return AdaptiveConcurrencyLimiter(INITIAL_CONCURRENT_REQUESTS, MIN_CONCURRENT_REQUESTS, maximum, slack_s)
 
 
 def refuse(limiter: AdaptiveConcurrencyLimiter, status: int) -> Response:
-    """An immediate refusal, with the time after which to retry."""
+    """Return an immediate refusal, with the time after which to retry."""
     return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after())
 
 
-def limited(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response | Work:
-    """The work under a limiter, or a refusal when too much is in progress."""
+def run_limited(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response | Work:
+    """Return the work under a limiter, or a refusal when too many requests are in progress."""
     if not limiter.try_acquire():
         work.close()
         return refuse(limiter, 429)
-    return measured(limiter, work)
+    return run_measured(limiter, work)
 
 
-async def measured(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response:
-    """Carry out work that has entered the limiter, and report its latency to the limiter."""
-    started = monotonic_time()
+async def run_measured(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response:
+    """Run work that has acquired the limiter, and report its latency to the limiter."""
+    started_at = monotonic_time()
     failed = True
     try:
         response = await work
         failed = response.status >= 500
         return response
-    except (StoreError, UnavailableError) as problem:
-        debug("user_request_unavailable", error=problem)
+    except (StoreError, UnavailableError) as exc:
+        debug("user_request_unavailable", error=exc)
         return refuse(limiter, 503)
     finally:
-        limiter.release(monotonic_time() - started, failed=failed)
+        limiter.release(monotonic_time() - started_at, failed=failed)
--- a/src/passrock/controller/request_router.py
+++ b/src/passrock/controller/request_router.py
@@ -15,7 +15,7 @@
 
 
 class RequestRouter:
-    """Hands each request to the part that answers it."""
+    """Passes each request to the object that answers it."""
 
     def __init__(self, heartbeats: HeartbeatEndpoint, health: HealthCheck, user_api: UserApi) -> None:
         self.heartbeats = heartbeats
@@ -23,7 +23,7 @@
         self.user_api = user_api
 
     def handle(self, request: Request) -> Response | Awaitable[Response]:
-        """The answer, or what produces it."""
+        """Return the answer, or an awaitable that produces it."""
         path = request.path
         if path == worker_wire.CHECKIN_PATH:
             return self.heartbeats.handle(request) if request.method == "POST" else Response(405, allow="POST")
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -7,7 +7,7 @@
 from passrock.controller import keys
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
-from passrock.controller.evaluations import Evaluations
+from passrock.controller.evaluations import EvaluationSignals
 from passrock.controller.record_loader import confirmed_at
 from passrock.core.cancellations import CancellationLog
 from passrock.core.job_table import JobTable
@@ -28,7 +28,7 @@
         assignments: dict[str, str],
         rounds: BindingRounds,
         commit_queue: CommitQueue,
-        evaluations: Evaluations,
+        evaluations: EvaluationSignals,
         plan_now: Callable[[], None],
     ) -> None:
         """``plan_now`` brings the next plan of preemption and scale-out forward."""
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -1,6 +1,6 @@
-"""Acceptance of submitted jobs: their first records are committed, several in one transaction when many come at once.
+"""Acceptance of submitted jobs: commits their first records, several in one transaction when many arrive at once.
 
-A transaction is a compare-and-swap under the condition that no record of the job exists, not even its final one, so
+A transaction is a compare-and-swap on the condition that no record of the job exists, not even its final one, so
 that a repeated submission is recognized (idempotent request).
 """
 
@@ -20,7 +20,7 @@
 
 
 class AdmissionTokenExpiredError(StoreError):
-    """What admitted the submission is no longer in force; nothing was accepted."""
+    """The allocation that admitted the submission is no longer valid; nothing was accepted."""
 
 
 class PendingSubmission(msgspec.Struct):
@@ -32,30 +32,30 @@
 
     @property
     def is_abandoned(self) -> bool:
-        """Whether every request has given up waiting."""
+        """Whether no request waits for the answer any longer."""
         return all(future.done() for future in self.futures)
 
     def answer(self, *, accepted: bool) -> None:
-        """Answer every request: True when the job was accepted now, False when it was known already."""
+        """Answer every request: True when the job is newly accepted, False when it was already known."""
         for future in self.futures:
             if not future.done():
                 future.set_result(accepted)
 
-    def fail(self, problem: StoreError) -> None:
-        """Fail every request: the job was not accepted, or the outcome is unknown."""
+    def fail(self, exc: StoreError) -> None:
+        """Raise ``exc`` in every request: the job was not accepted, or the outcome is unknown."""
         for future in self.futures:
             if not future.done():
-                future.set_exception(problem)
+                future.set_exception(exc)
 
 
 def _retrieve_exception(task: asyncio.Task[None]) -> None:
-    """Keep asyncio from logging what ended the task: every request has had it as its answer."""
+    """Keep asyncio from logging the exception of the task: every request has received it."""
     if not task.cancelled():
         task.exception()
 
 
 class Submitter:
-    """Accepts jobs, several in one transaction when many come at once."""
+    """Accepts jobs, several in one transaction when many arrive at once."""
 
     def __init__(self, store: KeyValueStoreClient, txn_ops: int) -> None:
         """``txn_ops`` is the store's limit on the writes of one transaction."""
@@ -63,14 +63,14 @@
         self.batch_limit = max(1, txn_ops - 1)
         self.queue: list[PendingSubmission] = []
         self.draining = False
-        self._drain_task: asyncio.Task[None] | None = None  # the event loop itself keeps no reference to a task
+        self._drain_task: asyncio.Task[None] | None = None  # the event loop keeps no strong reference to a task
 
     async def submit(self, spec: JobSpec, admission_token: AdmissionToken | None = None) -> bool:
-        """Accept a job; returns True when it was accepted now, False when it was known already.
+        """Accept a job; return True when it is newly accepted, False when it was already known.
 
         Raises:
-            AdmissionTokenExpiredError: what admitted it is no longer in force; nothing was accepted.
-            UnknownOutcomeError: it may have been accepted.
+            AdmissionTokenExpiredError: the allocation that admitted it is no longer valid; nothing was accepted.
+            UnknownOutcomeError: the job may have been accepted.
             StoreError: nothing was accepted.
         """
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -92,7 +92,7 @@
             self.draining = False
 
     def _next_batch(self) -> list[PendingSubmission]:
-        """Take what fits into one transaction out of the queue, each job once."""
+        """Remove from the queue what fits into one transaction, each job once."""
         batch: dict[str, PendingSubmission] = {}
         rest: list[PendingSubmission] = []
         for pending in self.queue:
@@ -122,24 +122,24 @@
             writes.append(Put(keys.job(job_id), encode_record(record)))
         try:
             result = await self.store.commit(conditions, writes)
-        except StoreError as error:
+        except StoreError as exc:
             for pending in batch:
-                pending.fail(error)
+                pending.fail(exc)
             return
         if isinstance(result, Committed):
             for pending in batch:
                 pending.answer(accepted=True)
         else:
-            self._answer_refused(batch, result)
+            self._handle_conflict(batch, result)
 
-    def _answer_refused(self, batch: list[PendingSubmission], result: TransactionConflict) -> None:
-        """A condition failed and nothing was written: answer whose it was, and queue the others again."""
+    def _handle_conflict(self, batch: list[PendingSubmission], result: TransactionConflict) -> None:
+        """Answer the submissions whose conditions failed and queue the others again; nothing was written."""
         failed = set(result.conflicting_keys)
         for pending in batch:
             job_id, admission_token = pending.spec.id, pending.admission_token
             if keys.job(job_id) in failed or keys.final(job_id) in failed:
                 pending.answer(accepted=False)
             elif admission_token is not None and admission_token.key in failed:
-                pending.fail(AdmissionTokenExpiredError("the admission token has expired"))
+                pending.fail(AdmissionTokenExpiredError(f"{admission_token.key} changed after the admission"))
             else:
                 self.queue.append(pending)
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -31,4 +31,4 @@
         term = self.leadership.term
         votes = 1 + sum(1 for heartbeat in self.peers.heartbeats() if heartbeat.term >= term)
         if is_majority(votes, self.nodes):
-            self.confirmed_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_FACTOR
+            self.confirmed_at = monotonic_time() + self.peers.answer_validity_s * CLOCK_DRIFT_FACTOR
--- a/src/passrock/io/clock.py
+++ b/src/passrock/io/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock and the wall clock, behind functions so that tests can drive both."""
+"""The monotonic clock and the wall clock, behind functions so that tests can control both."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def monotonic_time() -> float:
-    """Seconds on the running loop's monotonic clock; only differences mean anything."""
+    """Return seconds on the running loop's monotonic clock; only differences are meaningful."""
     return asyncio.get_running_loop().time()
 
 
@@ -22,5 +22,5 @@
 
 
 def time_of_day() -> float:
-    """Seconds since 1970 on the wall clock, which may step; stored records carry these."""
+    """Return seconds since the epoch on the wall clock, which may step; stored records contain these."""
     return _wall_clock()
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud that rents machines."""
+"""Client of the cloud, which provisions and deletes machines."""
 
 from __future__ import annotations
 
@@ -25,62 +25,64 @@
 
 
 class CloudClient:
-    """The cloud's calls, inside their rate. All raise CloudError."""
+    """Sends requests to the cloud within the rate limit. All calls raise CloudError."""
 
-    def __init__(self, http: HttpClient, budget: TokenBucket) -> None:
+    def __init__(self, http: HttpClient, rate_limiter: TokenBucket) -> None:
         self.http = http
-        self.budget = budget
+        self.rate_limiter = rate_limiter
 
-    async def machine_types(self) -> dict[str, MachineType]:
-        """The machine types with current prices."""
+    async def list_machine_types(self) -> dict[str, MachineType]:
+        """Return the machine types by name, with current prices."""
         body = await self._call("GET", wire.TYPES_PATH)
         return _parse(wire.parse_types, body, wire.TYPES_PATH)
 
-    async def rent(self, name: str, type_name: str, zone: str, spot: bool, count: int) -> tuple[str, ...]:
-        """Carry out a rental request; the machines got.
+    async def provision(self, name: str, type_name: str, zone: str, spot: bool, count: int) -> tuple[str, ...]:
+        """Request ``count`` machines and return the names of those provisioned, which may be fewer.
+
+        Requests are idempotent by ``name``: a repeated one returns the machines of the first.
 
         Raises:
-            NoCapacityError: None are available for this type, zone and kind.
+            NoCapacityError: no machine is available for this type, zone and kind.
         """
         body = await self._call("POST", wire.RENTALS_PATH, wire.rental(name, type_name, zone, spot, count))
         return _parse(wire.parse_rented, body, wire.RENTALS_PATH)
 
-    async def delete(self, names: list[str]) -> None:
-        """Delete machines; when this returns they no longer exist."""
+    async def delete_machines(self, names: list[str]) -> None:
+        """Delete machines; when this returns, they no longer exist."""
         await self._call("POST", wire.DELETE_PATH, wire.deletion(names))
 
-    async def machines(self) -> list[ListedMachine]:
-        """All machines, page by page."""
-        rows: list[ListedMachine] = []
+    async def list_machines(self) -> list[ListedMachine]:
+        """Return all machines, read page by page."""
+        machines: list[ListedMachine] = []
         truncated = True
         while truncated:
-            path = wire.list_path(rows[-1].name if rows else "")
+            path = wire.list_path(machines[-1].name if machines else "")
             page, truncated = _parse(wire.parse_list, await self._call("GET", path), path)
             if not page:
                 break
-            rows += page
-        return rows
+            machines += page
+        return machines
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> bytes:
-        wait = self.budget.reserve(monotonic_time(), 1)
+        wait = self.rate_limiter.reserve(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
             status, answer = await self.http.request(method, path, body, CALL_TIMEOUT_S)
-        except NoAnswerError as error:
-            raise CloudError(str(error)) from error
+        except NoAnswerError as exc:
+            raise CloudError(str(exc)) from exc
         call = f"{method} {path}"
         if status == TOO_MANY_REQUESTS:
-            self.budget.record_rejection(monotonic_time())
+            self.rate_limiter.record_rejection(monotonic_time())
         if status == UNAVAILABLE and b"capacity" in answer:
-            raise NoCapacityError("no capacity", call=call)
+            raise NoCapacityError(f"no capacity (status {status})", call=call)
         if status != OK:
-            raise CloudError(f"status {status}", call=call)
+            raise CloudError(f"unexpected status {status}", call=call)
         return answer
 
 
 def _parse(parse: Callable[[bytes], Answer], body: bytes, path: str) -> Answer:
     try:
         return parse(body)
-    except MalformedBodyError as error:
-        raise CloudError(f"malformed answer: {error}", call=path) from error
+    except MalformedBodyError as exc:
+        raise CloudError(f"malformed answer: {exc}", call=path) from exc
--- a/src/passrock/io/errors.py
+++ b/src/passrock/io/errors.py
@@ -1,77 +1,77 @@
-"""What can go wrong in a call to another service: one hierarchy, by what the caller may conclude.
+"""Errors of calls to other services, classified by what the caller may conclude.
 
 ServiceError
-├── NoAnswerError           transport: the request may have been carried out, or may yet be
-│   └── NotSentError        transport: no byte of it was written
-├── StoreError              the store didn't carry the call out
-│   ├── StoreUnavailableError   it doesn't serve now
-│   ├── RateLimitedError        over its rate
-│   ├── UnexpectedAnswerError   an answer that the interface doesn't name
+├── NoAnswerError               transport: the request may have been carried out, or may yet be
+│   └── NotSentError            transport: no byte of the request was written
+├── StoreError                  the store did not carry out the call
+│   ├── StoreUnavailableError   the store is unavailable
+│   ├── RateLimitedError        the store's rate limit was exceeded
+│   ├── UnexpectedAnswerError   the interface does not define the answer
 │   ├── UnknownOutcomeError     no answer: the call may have been carried out, or may yet be
-│   ├── LeaseExpiredError       the lease has ended
-│   └── CompactedError          the changes asked for are no longer kept
-└── CloudError              no usable answer of the cloud
-└── NoCapacityError     none available for this type, zone and kind of machine
+│   ├── LeaseExpiredError       the lease has expired
+│   └── CompactedError          the requested changes are no longer kept
+└── CloudError                  the cloud gave no usable answer
+    └── NoCapacityError         no machine is available for this type, zone and kind
 """
 
 from __future__ import annotations
 
-CALL_LIMIT = 120  # characters of a call in a message; a list's path holds a key
+MAX_CALL_CHARS = 120  # of a call in a message: the path of a list request contains a key
 
 
 class ServiceError(Exception):
-    """A call to another service that didn't succeed.
+    """A call to another service failed.
 
     Attributes:
-        reason: What failed.
-        call: Method and path, where they are known.
+        reason: what failed.
+        call: method and path, where they are known.
     """
 
     def __init__(self, reason: str, *, call: str | None = None) -> None:
-        super().__init__(reason if call is None else f"{call[:CALL_LIMIT]}: {reason}")
+        super().__init__(reason if call is None else f"{call[:MAX_CALL_CHARS]}: {reason}")
         self.reason = reason
         self.call = call
 
 
 class NoAnswerError(ServiceError):
-    """No usable response; the request may have been carried out, or may yet be."""
+    """There was no usable response; the request may have been carried out, or may yet be."""
 
 
 class NotSentError(NoAnswerError):
-    """No connection: the request was never written."""
+    """There was no connection, so the request was never written."""
 
 
 class StoreError(ServiceError):
-    """The key-value store did not carry the call out, unless this is an UnknownOutcomeError."""
+    """The key-value store did not carry out the call, unless this is an UnknownOutcomeError."""
 
 
 class StoreUnavailableError(StoreError):
-    """The store doesn't serve now."""
+    """The store is unavailable."""
 
 
 class RateLimitedError(StoreError):
-    """The store refused the call because its rate was exceeded."""
+    """The store refused the call because its rate limit was exceeded."""
 
 
 class UnexpectedAnswerError(StoreError):
-    """An answer with a status or a body that the interface doesn't name."""
+    """The answer has a status or a body that the interface does not define."""
 
 
 class UnknownOutcomeError(StoreError):
-    """No answer: the call may have been carried out, or may yet be."""
+    """There was no answer; the call may have been carried out, or may yet be."""
 
 
 class LeaseExpiredError(StoreError):
-    """The lease has ended."""
+    """The lease has expired."""
 
 
 class CompactedError(StoreError):
-    """The changes from the watch's start on are no longer kept."""
+    """The store no longer keeps the changes since the revision at which the watch starts."""
 
 
 class CloudError(ServiceError):
-    """No usable answer of the cloud."""
+    """The cloud gave no usable answer."""
 
 
 class NoCapacityError(CloudError):
-    """No machine available for this type, zone and kind."""
+    """No machine is available for this type, zone and kind."""
--- a/src/passrock/io/http_client.py
+++ b/src/passrock/io/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client: a small pool of kept connections to one address."""
+"""HTTP/1.1 client with a small pool of persistent connections to one address."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class HttpClient:
-    """Requests to one address, one at a time on each connection."""
+    """Sends requests to one address, one at a time on each connection."""
 
     def __init__(self, address: Address, max_connections: int) -> None:
         self.address = address
         self._idle_connections: list[ClientConnection] = []
-        self._connection_slots = asyncio.Semaphore(max_connections)
+        self._connection_limit = asyncio.Semaphore(max_connections)
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout: float = REQUEST_TIMEOUT_S
     ) -> tuple[int, bytes]:
-        """Status and body; raises NoAnswerError.
+        """Send a request; return the status and body of the response. Raises NoAnswerError.
 
-        The time counts from the call on, with any wait for a connection.
+        ``timeout``, in seconds, includes the wait for a connection.
         """
         call = f"{method} {path}"
         try:
             async with asyncio.timeout(timeout):
-                async with self._connection_slots:
+                async with self._connection_limit:
                     return await self._exchange(method, path, body)
-        except TimeoutError as error:
-            raise NoAnswerError("no response in time", call=call) from error
+        except TimeoutError as exc:
+            raise NoAnswerError(f"no response within {timeout} s", call=call) from exc
 
     async def _exchange(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
         call = f"{method} {path}"
-        connection = self._take_idle() or await self._connect(call)
+        connection = self._pop_idle() or await self._connect(call)
         head = (
             f"{call} HTTP/1.1\r\nHost: {self.address.host}:{self.address.port}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         try:
             result = await connection.send(call, head.encode() + body)
-        except BaseException:  # a cancelled request too: its answer must not meet the next one
+        except BaseException:  # also on cancellation: a late response must not be taken for the next one
             connection.abort()
             raise
         if connection.keep_alive:
@@ -52,7 +52,7 @@
             connection.abort()
         return result
 
-    def _take_idle(self) -> ClientConnection | None:
+    def _pop_idle(self) -> ClientConnection | None:
         while self._idle_connections:
             connection = self._idle_connections.pop()
             if not connection.closed:
@@ -63,13 +63,13 @@
         loop = asyncio.get_running_loop()
         try:
             _, connection = await loop.create_connection(ClientConnection, self.address.host, self.address.port)
-        except OSError as error:
-            raise NotSentError(str(error), call=call) from error
+        except OSError as exc:
+            raise NotSentError(str(exc), call=call) from exc
         return connection
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server; a request at a time."""
+    """One connection to a server, which carries one request at a time."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -86,18 +86,18 @@
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the transport; the connection has ended."""
+        """Mark the connection closed and fail the waiting request."""
         self.closed = True
         self._fail("connection lost")
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     async def send(self, call: str, data: bytes) -> tuple[int, bytes]:
-        """Write a request and wait for its response; ``call`` names it in errors."""
+        """Send a request and return its response; ``call`` names the request in errors."""
         if self.closed or self._transport is None:
             raise NotSentError("connection closed", call=call)
         self._call = call
@@ -106,28 +106,28 @@
         return await self._response
 
     def data_received(self, data: bytes) -> None:
-        """Take in what has arrived."""
+        """Feed the received bytes to the parser."""
         try:
             self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(f"malformed response: {error}")
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
+            self._fail(f"malformed response: {exc}")
             self.abort()
 
     def on_message_begin(self) -> None:
-        """Begin a new message."""
+        """Reset the state for a new response."""
         self._body = []
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand a whole message over."""
+        """Set the complete response as the result of the waiting request."""
         self.keep_alive = self._parser.should_keep_alive()
         if self._response is not None and not self._response.done():
             self._response.set_result((self._parser.get_status_code(), b"".join(self._body)))
 
     def _fail(self, reason: str) -> None:
-        """End the waiting request without an answer."""
+        """Fail the waiting request with NoAnswerError."""
         if self._response is not None and not self._response.done():
             self._response.set_exception(NoAnswerError(reason, call=self._call))
--- a/src/passrock/io/http_server.py
+++ b/src/passrock/io/http_server.py
@@ -11,9 +11,9 @@
 
 from passrock.logs import error
 
-BODY_LIMIT = 64 * 1024  # bytes
-HEAD_LIMIT = 16 * 1024  # bytes
-LOGGED_PATH_LIMIT = 80  # characters
+BODY_LIMIT_BYTES = 64 * 1024
+HEAD_LIMIT_BYTES = 16 * 1024
+MAX_LOGGED_PATH_CHARS = 80
 REASONS = {
     200: "OK",
     201: "Created",
@@ -27,12 +27,12 @@
     429: "Too Many Requests",
     431: "Request Header Fields Too Large",
     500: "Internal Server Error",
-    503: "Service UnavailableError",  # not the registered phrase; kept as it has been sent so far
+    503: "Service UnavailableError",  # not the registered phrase; kept for compatibility
 }
 
 
 class Request(msgspec.Struct):
-    """One request."""
+    """An HTTP request."""
 
     method: str
     path: str
@@ -40,7 +40,7 @@
 
 
 class Response(msgspec.Struct):
-    """One response; ``retry_after`` in whole seconds."""
+    """An HTTP response; ``retry_after`` is in seconds."""
 
     status: int
     body: bytes = b""
@@ -49,7 +49,7 @@
     close: bool = False
 
     def head(self, *, keep_alive: bool) -> bytes:
-        """The status line and headers."""
+        """Return the status line and headers."""
         lines = [
             f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}",
             f"Content-Length: {len(self.body)}",
@@ -69,17 +69,17 @@
 
 
 class _ProtocolViolationError(ValueError):
-    """Raised inside a callback of the parser, which then reports a parser error."""
+    """Raised inside a callback of the parser, which then raises a parser error."""
 
 
 class HttpServer:
-    """Counts and sweeps the connections of one listening address.
+    """Serves one listening address, with a limit on connections and time-outs for idle and slow ones.
 
     Args:
-        handler: Answers each request, at once or later.
-        connection_limit: How many connections it holds at most.
-        idle_timeout_s: A connection without a request for longer is closed.
-        head_timeout_s: A request that has been arriving for longer is answered 408.
+        handler: answers each request, at once or later.
+        connection_limit: the maximum number of open connections.
+        idle_timeout_s: a connection without a request for longer is closed.
+        head_timeout_s: a request that takes longer to arrive is answered with 408.
     """
 
     def __init__(
@@ -90,17 +90,17 @@
         self.idle_timeout_s = idle_timeout_s
         self.head_timeout_s = head_timeout_s
         self.connections: set[ServerConnection] = set()
-        self._limit_logged_at: float | None = None
+        self._connection_limit_logged_at: float | None = None
 
     async def start(self, host: str, port: int) -> asyncio.Server:
-        """Listen, and sweep idle and slow connections from then on."""
+        """Listen, and begin to close idle and slow connections at intervals."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: ServerConnection(self), host, port, backlog=self.connection_limit)
         loop.call_later(self.head_timeout_s / 2, self.sweep)
         return server
 
     def sweep(self) -> None:
-        """Close connections that have been idle, or halfway through a request, for too long."""
+        """Close connections that have been idle or receiving a request for too long."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         for connection in list(self.connections):
@@ -108,39 +108,39 @@
         loop.call_later(self.head_timeout_s / 2, self.sweep)
 
     def evict_idle_if_full(self) -> bool:
-        """Whether there is capacity for a connection; at the limit the longest idle one is closed for it."""
+        """Return whether a connection may be added; at the limit, close the one that has been idle longest."""
         if len(self.connections) < self.connection_limit:
             return True
         idle = [connection for connection in self.connections if connection.idle]
         if not idle:
-            self._log_limit()
+            self._log_connection_limit()
             return False
         min(idle, key=lambda connection: connection.idle_or_receiving_since).close()
         return True
 
-    def _log_limit(self) -> None:
-        """Say, once in a while, that the platform's limit is too small for the workers and users that there are."""
+    def _log_connection_limit(self) -> None:
+        """Log, at most once per idle time-out, that the connection limit is too small for the workers and users."""
         now = asyncio.get_running_loop().time()
-        if self._limit_logged_at is None or now - self._limit_logged_at >= self.idle_timeout_s:
-            self._limit_logged_at = now
+        if self._connection_limit_logged_at is None or now - self._connection_limit_logged_at >= self.idle_timeout_s:
+            self._connection_limit_logged_at = now
             error("socket_limit_reached", limit=self.connection_limit)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection; a request at a time."""
+    """One connection, which handles one request at a time."""
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
-        self.idle = True  # no byte of a next request has arrived
+        self.idle = True  # no byte of the next request has arrived
         self.idle_or_receiving_since = 0.0  # time of the loop
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._answering: asyncio.Future[Response] | None = None
+        self._pending_response: asyncio.Future[Response] | None = None
         self._url = b""
         self._body: list[bytes] = []
         self._body_size = 0
         self._request_size = 0
-        self._violation_status: int | None = None  # the answer to what a callback of the parser refuses
+        self._violation_status: int | None = None  # the status for a request that a parser callback rejects
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport of the new connection."""
@@ -153,21 +153,21 @@
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the transport; the connection has ended."""
+        """Drop the transport of the closed connection and cancel its handler."""
         self.server.connections.discard(self)
         self._transport = None
-        if self._answering is not None:
-            self._answering.cancel()
+        if self._pending_response is not None:
+            self._pending_response.cancel()
 
     def close(self) -> None:
-        """Close after what has been written."""
+        """Close the connection after the bytes already written are sent."""
         if self._transport is not None:
             self._transport.close()
             self.server.connections.discard(self)
 
     def check_age(self, now: float) -> None:
-        """Close when idle too long; answer 408 when a request has been arriving too slowly."""
-        if self._answering is not None:
+        """Close the connection if idle for too long; answer 408 if a request is arriving too slowly."""
+        if self._pending_response is not None:
             return
         age = now - self.idle_or_receiving_since
         if self.idle:
@@ -177,7 +177,7 @@
             self._send(Response(408, close=True))
 
     def data_received(self, data: bytes) -> None:
-        """Take in what has arrived."""
+        """Feed the received bytes to the parser."""
         if self._transport is None or self._transport.is_closing():
             return
         if self.idle:
@@ -192,71 +192,75 @@
         except httptools.HttpParserError:
             self._send(Response(self._violation_status or 400, close=True))
         else:
-            if not self.idle and self._answering is None and self._request_size > HEAD_LIMIT + BODY_LIMIT:
+            if (
+                not self.idle
+                and self._pending_response is None
+                and self._request_size > HEAD_LIMIT_BYTES + BODY_LIMIT_BYTES
+            ):
                 self._send(Response(431, close=True))
 
     def on_message_begin(self) -> None:
-        """Begin a new message."""
+        """Reset the state for a new request."""
         self._url = b""
         self._body = []
         self._body_size = 0
         self._violation_status = None
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the URL."""
+        """Append a part of the URL."""
         self._url += url
-        if len(self._url) > HEAD_LIMIT:
-            self._refuse(431, "url too long")
+        if len(self._url) > HEAD_LIMIT_BYTES:
+            self._reject(431, f"URL exceeds {HEAD_LIMIT_BYTES} bytes")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Refuse a body that is announced as too long."""
-        if name.lower() == b"content-length" and value.isdigit() and int(value) > BODY_LIMIT:
-            self._refuse(413, "body too long")
+        """Reject a body whose announced length exceeds the limit."""
+        if name.lower() == b"content-length" and value.isdigit() and int(value) > BODY_LIMIT_BYTES:
+            self._reject(413, f"body exceeds {BODY_LIMIT_BYTES} bytes")
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body."""
         self._body_size += len(body)
-        if self._body_size > BODY_LIMIT:
-            self._refuse(413, "body too long")
+        if self._body_size > BODY_LIMIT_BYTES:
+            self._reject(413, f"body exceeds {BODY_LIMIT_BYTES} bytes")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand a complete message over."""
-        if self._answering is not None:  # pipelining is not part of the interface
-            self._refuse(400, "request before the answer")
+        """Pass a complete request to the handler."""
+        if self._pending_response is not None:  # pipelining is not supported
+            self._reject(400, "request received before the previous one was answered")
         method = self._parser.get_method().decode("ascii", "replace")
         path = self._url.decode("ascii", "replace")
         request = Request(method, path, b"".join(self._body))
         try:
             result = self.server.handler(request)
-        except Exception as problem:  # noqa: BLE001 - whatever a handler raises is an answer of 500
-            error("request_handler_failed", path=path[:LOGGED_PATH_LIMIT], error=repr(problem))
+        except Exception as exc:  # noqa: BLE001 - any exception of a handler is answered with 500
+            error("request_handler_failed", path=path[:MAX_LOGGED_PATH_CHARS], error=repr(exc))
             result = Response(500)
         if isinstance(result, Response):
             self._send(result)
         else:
-            self._answering = asyncio.ensure_future(result)
-            self._answering.add_done_callback(self._answered)
+            self._pending_response = asyncio.ensure_future(result)
+            self._pending_response.add_done_callback(self._on_response)
 
-    def _refuse(self, status: int, reason: str) -> NoReturn:
-        """End the parsing of a request that will be answered with this status."""
+    def _reject(self, status: int, reason: str) -> NoReturn:
+        """Stop parsing a request and have it answered with ``status``."""
         self._violation_status = status
         raise _ProtocolViolationError(reason)
 
-    def _answered(self, answering: asyncio.Future[Response]) -> None:
-        """Send what the handler's task made."""
-        self._answering = None
-        if self._transport is None or answering.cancelled():
+    def _on_response(self, response_future: asyncio.Future[Response]) -> None:
+        """Send the response of the handler's task."""
+        self._pending_response = None
+        if self._transport is None or response_future.cancelled():
             return
-        problem = answering.exception()
-        if problem is not None:
-            error("request_handler_failed", error=repr(problem))
+        exc = response_future.exception()
+        if exc is not None:
+            error("request_handler_failed", error=repr(exc))
             self._send(Response(500))
         else:
-            self._send(answering.result())
+            self._send(response_future.result())
 
     def _send(self, response: Response) -> None:
-        """Write a response and get ready for the next request."""
+        """Write a response and prepare for the next request."""
         if self._transport is None or self._transport.is_closing():
             return
         keep_alive = not response.close and self._parser.should_keep_alive()
--- a/src/passrock/io/peer_link.py
+++ b/src/passrock/io/peer_link.py
@@ -1,4 +1,4 @@
-"""Connections between controllers: one side sends its heartbeat, the other answers with its own heartbeat."""
+"""Connections between controllers: one side sends its heartbeat, the other answers with its own."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 from passrock.logs import debug
 from passrock.settings import Peer
 
-UNANSWERED_LIMIT = 8  # requests without an answer on one connection, before it is closed
+MAX_UNANSWERED_REQUESTS = 8  # on one connection; with more, the connection is closed
 
 
 class PeerAnswer(msgspec.Struct, frozen=True):
-    """A peer's heartbeat, and when it was asked for by the monotonic clock: it was true at some time since."""
+    """A peer's heartbeat, and the monotonic time of its request; the peer was in that state at some time since."""
 
     heartbeat: PeerHeartbeat
-    asked_at: float
+    requested_at: float
 
 
 class Link(Protocol):
-    """A way to ask one peer.
+    """Exchanges heartbeats with one peer.
 
     Attributes:
         answer: the last answer, None before the first.
-        waiting_since: since when the peer has neither answered nor refused; None when it has done either.
+        waiting_since: since when the peer has neither answered nor refused a connection; None when no answer is
+            awaited.
     """
 
     answer: PeerAnswer | None
@@ -38,12 +39,12 @@
     def subscribe(self, listener: Callable[[PeerAnswer], None]) -> None:
         """Have ``listener`` called with each answer."""
 
-    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
+    async def send_heartbeat(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
         """Send a heartbeat; ``timeout``, in seconds, bounds the wait for a connection."""
 
 
 class PeerConnection(asyncio.Protocol):
-    """Splits what arrives on a connection into messages, for either side."""
+    """Splits the bytes received on a connection into messages, on either side."""
 
     def __init__(self, receive: Callable[[PeerConnection, PeerHeartbeat], None]) -> None:
         self.receive = receive
@@ -56,11 +57,11 @@
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the transport; the connection has ended."""
+        """Drop the transport of the closed connection."""
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Pass on every message that is complete; close on one that is malformed."""
+        """Pass on each complete message; close the connection on a malformed one."""
         self.buffer += data
         while True:
             try:
@@ -69,25 +70,25 @@
                     return  # incomplete
                 body, self.buffer = parts
                 message = decode(body)
-            except MalformedMessageError as problem:
-                self.drop(str(problem))
+            except MalformedMessageError as exc:
+                self.drop(str(exc))
                 return
             self.receive(self, message)
 
     def send(self, message: PeerHeartbeat) -> None:
-        """Write a message, if still connected."""
+        """Write a message if the connection is open."""
         if self.transport is not None:
             self.transport.write(frame(message))
 
     def drop(self, reason: str) -> None:
-        """Close the connection over what the peer sent, or failed to send."""
+        """Close the connection because of a malformed or missing message of the peer."""
         debug("peer_message_malformed", reason=reason)
         if self.transport is not None:
             self.transport.abort()
 
 
 class PeerLink:
-    """A lasting connection to one peer, opened again when it fails; keeps the peer's last answer."""
+    """A persistent connection to one peer, reopened after a failure; keeps the peer's last answer."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
@@ -95,51 +96,51 @@
         self.answer: PeerAnswer | None = None
         self.waiting_since: float | None = None
         self._listeners: list[Callable[[PeerAnswer], None]] = []
-        self._asked_at: deque[float] = deque()  # when each unanswered request on this connection was sent
+        self._requested_at: deque[float] = deque()  # send times of the unanswered requests on this connection
 
     def subscribe(self, listener: Callable[[PeerAnswer], None]) -> None:
         """Have ``listener`` called with each answer."""
         self._listeners.append(listener)
 
-    async def ask(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
-        """Send this controller's heartbeat; the answer arrives later or never."""
+    async def send_heartbeat(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
+        """Send this controller's heartbeat; an answer may arrive later."""
         if self.waiting_since is None:
             self.waiting_since = monotonic_time()
-        connection = await self._connected(timeout)
+        connection = await self._connect(timeout)
         if connection is None:
             return
-        if len(self._asked_at) > UNANSWERED_LIMIT:
-            connection.drop("no answers")
+        if len(self._requested_at) > MAX_UNANSWERED_REQUESTS:
+            connection.drop(f"{len(self._requested_at)} requests without an answer")
             self.connection = None
             return
-        self._asked_at.append(monotonic_time())
+        self._requested_at.append(monotonic_time())
         connection.send(heartbeat)
 
-    async def _connected(self, timeout: float) -> PeerConnection | None:
-        """The open connection, or a new one; None when the peer refuses it or can't be reached in time."""
+    async def _connect(self, timeout: float) -> PeerConnection | None:
+        """Return the open connection or a new one; None when the peer refuses it or does not accept it in time."""
         if self.connection is not None and self.connection.transport is not None:
             return self.connection
-        self._asked_at.clear()
+        self._requested_at.clear()
         address = self.peer.address
         try:
             async with asyncio.timeout(timeout):
                 _, self.connection = await asyncio.get_running_loop().create_connection(
-                    lambda: PeerConnection(self._answered), address.host, address.port
+                    lambda: PeerConnection(self._on_answer), address.host, address.port
                 )
         except TimeoutError:
             return None
         except OSError:
-            self.waiting_since = None  # a refusal is an answer: nobody waits for this peer
+            self.waiting_since = None  # a refusal is an answer: such a peer is not unresponsive
             return None
         return self.connection
 
-    def _answered(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
-        if connection is not self.connection or not self._asked_at:
+    def _on_answer(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
+        if connection is not self.connection or not self._requested_at:
             return
         if heartbeat.node != self.peer.node:
-            connection.drop("another node's answer")
+            connection.drop(f"answer of a node other than {self.peer.node}")
             return
         self.waiting_since = None
-        self.answer = PeerAnswer(heartbeat, self._asked_at.popleft())
+        self.answer = PeerAnswer(heartbeat, self._requested_at.popleft())
         for listener in self._listeners:
             listener(self.answer)
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -1,4 +1,4 @@
-"""The other controllers: their last heartbeats, and the exchange of heartbeats and cancellations with them."""
+"""The peers of a controller: their last heartbeats, and the exchange of heartbeats and cancellations with them."""
 
 from __future__ import annotations
 
@@ -16,72 +16,74 @@
 from passrock.io.peer_messages import PeerHeartbeat
 from passrock.settings import Address
 
-SLICE_LIMIT = 100  # cancellations in one message, far inside its limit
-LEAST_SUPPORT_S = 1.0  # for which a peer's answer may be relied on, however short the heartbeat interval
+MAX_CANCELLATIONS_PER_MESSAGE = 100  # far below the size limit of a message
+MIN_ANSWER_VALIDITY_S = 1.0  # lower bound, however short the heartbeat interval
 
 
 def is_majority(votes: int, controllers: int) -> bool:
-    """Whether ``votes`` of all controllers, this one included, are more than half."""
+    """Whether ``votes`` are more than half of all controllers, including this one."""
     return votes * 2 > controllers
 
 
 class PeerTable:
-    """The last answer of each peer, and how far its log of cancellations has been applied here.
+    """The last answer of each peer, and how far its log of cancellations has been applied locally.
 
     Attributes:
-        links: one for each other controller.
-        support_s: for how many seconds from its request an answer may be relied on.
+        links: one for each peer.
+        answer_validity_s: how many seconds after its request an answer remains valid.
         progress: how far the log of cancellations of each peer has been applied, in the order of the links.
     """
 
     def __init__(self, links: Sequence[Link], report_s: float) -> None:
         self.links = links
-        self.support_s = max(LEAST_SUPPORT_S, report_s)
+        self.answer_validity_s = max(MIN_ANSWER_VALIDITY_S, report_s)
         self.progress = [PeerLogProgress() for _ in links]
 
     def heartbeats(self, since: float = NEVER) -> list[PeerHeartbeat]:
-        """The last heartbeat of each peer that was asked for at ``since`` or later."""
+        """Return the last heartbeats of the peers that answered a request sent at ``since`` or later."""
         return [
-            link.answer.heartbeat for link in self.links if link.answer is not None and link.answer.asked_at >= since
+            link.answer.heartbeat
+            for link in self.links
+            if link.answer is not None and link.answer.requested_at >= since
         ]
 
     def recent_heartbeats(self, now: float) -> list[PeerHeartbeat]:
-        """The last heartbeat of each peer whose answer may be relied on still."""
-        return self.heartbeats(now - self.support_s)
+        """Return the last heartbeats of the peers whose answers are still valid."""
+        return self.heartbeats(now - self.answer_validity_s)
 
     def redirected_workers(self, now: float) -> int:
-        """How many workers came to other controllers lately instead of to this one."""
+        """Return how many workers contacted peers recently instead of this controller."""
         return sum(heartbeat.redirected_workers for heartbeat in self.recent_heartbeats(now))
 
     def any_unresponsive(self, now: float, after_s: float) -> bool:
-        """Whether some peer has neither answered nor refused for ``after_s``.
+        """Whether some peer has neither answered nor refused a connection for more than ``after_s``.
 
-        Such a controller is paused or cut off, and workers may be waiting for its answer as this one is.
+        Such a controller is paused or cut off, and workers may be waiting for its answer too.
         """
         return any(link.waiting_since is not None and now - link.waiting_since > after_s for link in self.links)
 
 
 class Extension(Protocol):
-    """A subsystem's own part in heartbeats. It bounds and checks what it exchanges."""
+    """A subsystem's data in heartbeats. The subsystem limits the size of its data and validates that of peers."""
 
     name: str
 
     def outgoing(self) -> bytes:
-        """What goes with this controller's heartbeat."""
+        """Return the data for this controller's heartbeat."""
 
     def received(self, node: str, data: bytes) -> None:
-        """A peer's part arrived."""
+        """Process the data of a peer."""
 
 
 class PeerExchange:
-    """Sends heartbeats to the peers, answers theirs, and replicates the log of cancellations with both.
+    """Exchanges heartbeats with the peers, and replicates the log of cancellations in them.
 
     Args:
-        table: the links, and where the progress of replication is kept.
-        local_heartbeat: makes this controller's heartbeat, without its log and extensions.
+        table: the links, and the progress of replication.
+        local_heartbeat: returns this controller's heartbeat, without its log and extensions.
         on_heartbeat: called with every heartbeat of a peer, request or answer.
         cancellations: this controller's own log.
-        extensions: the subsystems that are switched on.
+        extensions: the subsystems that are enabled.
     """
 
     def __init__(
@@ -98,20 +100,20 @@
         self._local_heartbeat = local_heartbeat
         self._on_heartbeat = on_heartbeat
         for link, progress in zip(table.links, table.progress, strict=True):
-            link.subscribe(partial(self._answered, progress))
+            link.subscribe(partial(self._on_answer, progress))
 
     async def listen(self, address: Address) -> asyncio.Server:
-        """Answer the other controllers."""
+        """Listen for the peers' connections and answer their heartbeats."""
         loop = asyncio.get_running_loop()
-        return await loop.create_server(lambda: PeerConnection(self._asked), address.host, address.port)
+        return await loop.create_server(lambda: PeerConnection(self._on_request), address.host, address.port)
 
     async def run(self, interval_s: float) -> None:
-        """Send a heartbeat to every peer at intervals, for ever."""
+        """Send a heartbeat to every peer at intervals until cancelled."""
         while True:
             heartbeat = self.heartbeat()
             await asyncio.gather(
                 *(
-                    link.ask(
+                    link.send_heartbeat(
                         msgspec.structs.replace(
                             heartbeat, applied_incarnation=progress.incarnation, applied=progress.applied
                         ),
@@ -123,27 +125,29 @@
             await asyncio.sleep(interval_s)
 
     def heartbeat(self) -> PeerHeartbeat:
-        """This controller's heartbeat, with what the subsystems that are switched on add to it."""
+        """Return this controller's heartbeat, with the data of the subsystems that are enabled."""
         heartbeat = self._local_heartbeat()
         if not self.extensions:
             return heartbeat
-        return msgspec.structs.replace(heartbeat, extensions={one.name: one.outgoing() for one in self.extensions})
+        return msgspec.structs.replace(
+            heartbeat, extensions={extension.name: extension.outgoing() for extension in self.extensions}
+        )
 
     def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
-        """Accept a peer's heartbeat; answer with this controller's and the cancellations not yet applied there."""
+        """Process a peer's heartbeat; return this controller's, with the cancellations that the peer lacks."""
         self._receive(heartbeat)
         answer = self.heartbeat()
         index = heartbeat.applied if heartbeat.applied_incarnation == answer.incarnation else 0
-        entries = self.cancellations.entries_since(index, SLICE_LIMIT)
+        entries = self.cancellations.entries_since(index, MAX_CANCELLATIONS_PER_MESSAGE)
         return msgspec.structs.replace(
             answer, first=entries.first, total=self.cancellations.total, cancelled=tuple(entries.job_ids)
         )
 
-    def _asked(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
+    def _on_request(self, connection: PeerConnection, heartbeat: PeerHeartbeat) -> None:
         connection.send(self.reply(heartbeat))
 
-    def _answered(self, progress: PeerLogProgress, answer: PeerAnswer) -> None:
-        """Append what a peer knows of cancellations, before its answer counts for anything."""
+    def _on_answer(self, progress: PeerLogProgress, answer: PeerAnswer) -> None:
+        """Append a peer's cancellations to the local log before anything else uses its answer."""
         heartbeat = answer.heartbeat
         log_answer = PeerLogAnswer(
             incarnation=heartbeat.incarnation,
@@ -153,7 +157,7 @@
             total=heartbeat.total,
             job_ids=heartbeat.cancelled,
         )
-        for job_id in progress.apply(log_answer, answer.asked_at):
+        for job_id in progress.apply(log_answer, answer.requested_at):
             self.cancellations.learn(job_id, monotonic_time())
         self._receive(heartbeat)
 
--- a/src/passrock/io/store.py
+++ b/src/passrock/io/store.py
@@ -1,4 +1,4 @@
-"""Client of the key-value store, inside its request and write rates."""
+"""Client of the key-value store that keeps within the store's request and write rates."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 CALL_TIMEOUT_S = 1.5
 PAGE_TIMEOUT_S = 5.0
-WATCH_TIMEOUT_RATIO = 2.0  # of the time for which the store may hold the answer back
+WATCH_TIMEOUT_RATIO = 2.0  # of the time for which the store may delay the answer
 WATCH_TIMEOUT_EXTRA_S = 5.0
 
 OK = 200
@@ -42,37 +42,39 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """A transaction that was applied, at this revision of the store."""
+    """A transaction that was applied, with the resulting revision of the store."""
 
     revision: int
 
 
 class TransactionConflict(msgspec.Struct, frozen=True):
-    """A transaction that was not applied because conditions failed, those of these keys."""
+    """A transaction that was not applied because the conditions on these keys failed."""
 
     conflicting_keys: tuple[str, ...]
 
 
 class KeyValueStoreClient:
-    """The store's calls; knows since when the store has been unavailable.
+    """Sends requests to the store, and records since when the store has been unavailable.
 
-    Each call waits for its place in the rates first. All raise StoreError, or the kind of it that they name.
+    Each call first waits until the rates allow it. All calls raise StoreError or the subclasses that they name.
     """
 
-    def __init__(self, http: HttpClient, watch_http: HttpClient, requests: TokenBucket, writes: TokenBucket) -> None:
+    def __init__(
+        self, http: HttpClient, watch_http: HttpClient, request_bucket: TokenBucket, write_bucket: TokenBucket
+    ) -> None:
         self.http = http
-        self.watch_http = watch_http  # connections of its own: a watch holds one for long
-        self.requests = requests
-        self.writes = writes
-        self.last_success_at = -math.inf  # when the last call that was served was sent
-        self.unavailable_since: float | None = None  # when the first call since then that wasn't served was sent
+        self.watch_http = watch_http  # separate connections: a watch occupies one for long
+        self.request_bucket = request_bucket
+        self.write_bucket = write_bucket
+        self.last_success_at = -math.inf  # when the last successful call was sent
+        self.unavailable_since: float | None = None  # when the first failed call since then was sent
 
     def is_unavailable(self, now: float, at_least_s: float) -> bool:
-        """Whether nothing has been served for ``at_least_s`` or longer."""
+        """Whether no call has succeeded for ``at_least_s`` or longer."""
         return self.unavailable_since is not None and now - self.unavailable_since >= at_least_s
 
     async def get(self, key: str, timeout: float = CALL_TIMEOUT_S) -> tuple[Entry | None, int]:
-        """The key, or None; and for a missing key the store's revision."""
+        """Return the entry and 0, or for a missing key None and the store's revision."""
         path = wire.get_path(key)
         status, body = await self._call("GET", path, timeout=timeout)
         if status == NOT_FOUND:
@@ -80,110 +82,110 @@
         _require_success(status, path)
         return _parse(wire.parse_entry, body, path), 0
 
-    async def page(self, prefix: str, after: str) -> EntryPage:
-        """One page of the keys below a prefix, after a key."""
+    async def list_page(self, prefix: str, after: str) -> EntryPage:
+        """Return one page of the entries below a prefix, beginning after the key ``after``."""
         path = wire.list_path(prefix, after)
         status, body = await self._call("GET", path, timeout=PAGE_TIMEOUT_S)
         _require_success(status, path)
         return _parse(wire.parse_page, body, path)
 
     async def commit(self, conditions: dict[str, int], writes: list[Write]) -> Committed | TransactionConflict:
-        """A transaction.
+        """Commit a transaction, unless one of its conditions fails.
 
         Raises:
-            UnknownOutcomeError: It may have been applied, or may yet be.
-            LeaseExpiredError: The lease of one of its writes has ended.
+            UnknownOutcomeError: the transaction may have been applied, or may yet be.
+            LeaseExpiredError: the lease of one of its writes has expired.
         """
         body = wire.commit(conditions, writes)
-        status, answer = await self._call("POST", wire.COMMIT_PATH, body, changes=len(writes))
+        status, answer = await self._call("POST", wire.COMMIT_PATH, body, write_count=len(writes))
         try:
             if status == OK:
                 return Committed(wire.parse_revision(answer))
             if status == CONFLICT:
                 return TransactionConflict(wire.parse_failed(answer))
-        except MalformedBodyError as error:
-            raise UnknownOutcomeError(f"malformed answer: {error}", call=wire.COMMIT_PATH) from error
+        except MalformedBodyError as exc:
+            raise UnknownOutcomeError(f"malformed answer: {exc}", call=wire.COMMIT_PATH) from exc
         if status == BAD_REQUEST and b"lease" in answer:
             raise LeaseExpiredError("no such lease", call=wire.COMMIT_PATH)
-        raise UnexpectedAnswerError(f"status {status}", call=wire.COMMIT_PATH)
+        raise UnexpectedAnswerError(f"unexpected status {status}", call=wire.COMMIT_PATH)
 
-    async def new_lease(self, ttl_s: float) -> int:
-        """A new lease."""
+    async def create_lease(self, ttl_s: float) -> int:
+        """Create a lease and return its id."""
         status, body = await self._call("POST", wire.LEASES_PATH, wire.lease_request(ttl_s))
         _require_success(status, wire.LEASES_PATH)
         return _parse(wire.parse_lease, body, wire.LEASES_PATH)
 
-    async def renew(self, lease: int, timeout: float) -> None:
-        """Renew a lease; raises LeaseExpiredError when it has ended."""
+    async def renew_lease(self, lease: int, timeout: float) -> None:
+        """Renew a lease; raises LeaseExpiredError when it has expired."""
         path = wire.renew_path(lease)
         status, _ = await self._call("POST", path, timeout=timeout)
         if status == NOT_FOUND:
-            raise LeaseExpiredError("lease ended", call=path)
+            raise LeaseExpiredError("lease expired", call=path)
         _require_success(status, path)
 
-    async def end_lease(self, lease: int) -> None:
-        """End a lease at once."""
+    async def revoke_lease(self, lease: int) -> None:
+        """Revoke a lease, which ends it at once."""
         await self._call("DELETE", wire.lease_path(lease))
 
-    async def changes(self, prefix: str, after: int, wait_ms: int) -> ChangeBatch:
-        """Wait for changes after a revision.
+    async def watch(self, prefix: str, after: int, wait_ms: int) -> ChangeBatch:
+        """Return the changes after a revision, waiting for them up to ``wait_ms``.
 
         Raises:
-            CompactedError: The store no longer keeps them; the keys have to be read again.
+            CompactedError: the store no longer keeps these changes; the keys have to be read again.
         """
-        await self._wait_for_rate(changes=0)
+        await self._wait_for_rate(write_count=0)
         path = wire.watch_path(prefix, after, wait_ms)
         timeout = wait_ms / 1000 * WATCH_TIMEOUT_RATIO + WATCH_TIMEOUT_EXTRA_S
         try:
             status, body = await self.watch_http.request("GET", path, timeout=timeout)
-        except NoAnswerError as error:
-            raise StoreUnavailableError(str(error)) from error
+        except NoAnswerError as exc:
+            raise StoreUnavailableError(str(exc)) from exc
         if status == GONE:
-            raise CompactedError("changes no longer kept", call=path)
+            raise CompactedError(f"changes after revision {after} are no longer kept", call=path)
         _require_success(status, path)
         return _parse(wire.parse_changes, body, path)
 
     async def _call(
-        self, method: str, path: str, body: bytes = b"", *, timeout: float = CALL_TIMEOUT_S, changes: int = 0
+        self, method: str, path: str, body: bytes = b"", *, timeout: float = CALL_TIMEOUT_S, write_count: int = 0
     ) -> tuple[int, bytes]:
-        """Status and body of a served call that changes so many keys; keeps the record of availability."""
-        await self._wait_for_rate(changes)
+        """Send a call with ``write_count`` writes and return its status and body; record whether it succeeded."""
+        await self._wait_for_rate(write_count)
         call = f"{method} {path}"
         sent_at = monotonic_time()
         try:
             status, answer = await self.http.request(method, path, body, timeout)
-        except NoAnswerError as error:
-            self._note_unavailable(sent_at)
-            raise UnknownOutcomeError(str(error)) from error
+        except NoAnswerError as exc:
+            self._record_unavailable(sent_at)
+            raise UnknownOutcomeError(str(exc)) from exc
         if status == TOO_MANY_REQUESTS:
-            self.requests.record_rejection(monotonic_time())
-            raise RateLimitedError("over the rate", call=call)
+            self.request_bucket.record_rejection(monotonic_time())
+            raise RateLimitedError("rate limit exceeded", call=call)
         if status >= FIRST_SERVER_ERROR:
-            self._note_unavailable(sent_at)
-            raise StoreUnavailableError("not served", call=call)
+            self._record_unavailable(sent_at)
+            raise StoreUnavailableError(f"status {status}", call=call)
         self.last_success_at = sent_at
         self.unavailable_since = None
         return status, answer
 
-    async def _wait_for_rate(self, changes: int) -> None:
-        wait = self.requests.reserve(monotonic_time(), 1)
-        if changes:
-            wait = max(wait, self.writes.reserve(monotonic_time(), changes))
+    async def _wait_for_rate(self, write_count: int) -> None:
+        wait = self.request_bucket.reserve(monotonic_time(), 1)
+        if write_count:
+            wait = max(wait, self.write_bucket.reserve(monotonic_time(), write_count))
         if wait > 0:
             await asyncio.sleep(wait)
 
-    def _note_unavailable(self, sent_at: float) -> None:
+    def _record_unavailable(self, sent_at: float) -> None:
         if self.unavailable_since is None:
             self.unavailable_since = sent_at
 
 
 def _require_success(status: int, path: str) -> None:
     if status != OK:
-        raise UnexpectedAnswerError(f"status {status}", call=path)
+        raise UnexpectedAnswerError(f"unexpected status {status}", call=path)
 
 
 def _parse(parse: Callable[[bytes], Answer], body: bytes, path: str) -> Answer:
     try:
         return parse(body)
-    except MalformedBodyError as error:
-        raise UnexpectedAnswerError(f"malformed answer: {error}", call=path) from error
+    except MalformedBodyError as exc:
+        raise UnexpectedAnswerError(f"malformed answer: {exc}", call=path) from exc
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -75,7 +75,7 @@
     def subscribe(self, listener):
         self.listeners.append(listener)
 
-    async def ask(self, heartbeat, timeout):
+    async def send_heartbeat(self, heartbeat, timeout):
         other = self.cluster.nodes.get(self.peer)
         sent = self.cluster.now()
         dead = other is None or not other.alive
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -936,7 +936,7 @@
     def subscribe(self, listener):
         self.listener = listener
 
-    async def ask(self, heartbeat, timeout):
+    async def send_heartbeat(self, heartbeat, timeout):
         self.sent.append(frame(heartbeat))
 
 
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from passrock.io.peer_link import UNANSWERED_LIMIT, PeerConnection, PeerLink
+from passrock.io.peer_link import MAX_UNANSWERED_REQUESTS, PeerConnection, PeerLink
 from passrock.io.peer_messages import PeerHeartbeat
 from passrock.settings import Address, Peer
 
@@ -46,14 +46,14 @@
         ):
             link.subscribe(notified.append)
             before = asyncio.get_running_loop().time()
-            await link.ask(QUESTION, TIMEOUT_S)
+            await link.send_heartbeat(QUESTION, TIMEOUT_S)
             after = asyncio.get_running_loop().time()
             assert link.waiting_since is not None
             assert link.answer is None
             await until(lambda: link.answer is not None)
         assert notified == [link.answer]
         assert link.answer.heartbeat.term == 4
-        assert before <= link.answer.asked_at <= after
+        assert before <= link.answer.requested_at <= after
         assert link.waiting_since is None
 
     asyncio.run(main())
@@ -63,7 +63,7 @@
     async def main():
         async with connected_peer(None) as (link, _):
             pass  # nobody listens at its address any more
-        await link.ask(QUESTION, TIMEOUT_S)
+        await link.send_heartbeat(QUESTION, TIMEOUT_S)
         assert link.waiting_since is None
         assert link.answer is None
 
@@ -73,14 +73,14 @@
 def test_the_connection_to_an_unresponsive_peer_is_replaced():
     async def main():
         async with connected_peer(lambda connection, _: None) as (link, connections):
-            for _ in range(UNANSWERED_LIMIT + 1):
-                await link.ask(QUESTION, TIMEOUT_S)
+            for _ in range(MAX_UNANSWERED_REQUESTS + 1):
+                await link.send_heartbeat(QUESTION, TIMEOUT_S)
             since = link.waiting_since
             assert since is not None
             assert link.connection is not None
-            await link.ask(QUESTION, TIMEOUT_S)
+            await link.send_heartbeat(QUESTION, TIMEOUT_S)
             assert link.connection is None
-            await link.ask(QUESTION, TIMEOUT_S)
+            await link.send_heartbeat(QUESTION, TIMEOUT_S)
             await until(lambda: len(connections) == 2)
             assert link.connection is not None
             assert link.waiting_since == since
@@ -97,7 +97,7 @@
             link,
             _,
         ):
-            await link.ask(QUESTION, TIMEOUT_S)
+            await link.send_heartbeat(QUESTION, TIMEOUT_S)
             await until(lambda: link.connection.transport is None)
             assert link.answer is None
             assert link.waiting_since is not None
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -40,7 +40,7 @@
         leader = await cluster.wait_for_leader()
         node = leader if leading else next(name for name in cluster.nodes if name != leader)
         await submit(cluster, node, 1)
-        requests = cluster.nodes[node].node.store.requests
+        requests = cluster.nodes[node].node.store.request_bucket
         requests.rate = requests.burst = FEW_REQUESTS
         answers = []
         for _ in range(80):
