--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -1,4 +1,4 @@
-"""Framing over real sockets on loopback: what is answered, and when connections are closed."""
+"""HTTP over real sockets on loopback: framing, and when connections are closed."""
 
 import asyncio
 
@@ -23,8 +23,8 @@
     return slow(request) if request.path == "/slow" else echo(request)
 
 
-async def talk(raw: bytes) -> bytes:
-    """Send raw bytes to a server and read until it closes."""
+async def send_raw(raw: bytes) -> bytes:
+    """Send raw bytes to a server and read until it closes the connection."""
     server = HttpServer(handler, connection_limit=8, idle_timeout_s=0.1, head_timeout_s=0.2)
     listening = await server.start("127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "statuses", "last_words"),
+    ("raw", "statuses", "body_end"),
     [
         (b"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", [200], b"GET /a 0"),
         (b"GET /slow HTTP/1.1\r\nConnection: close\r\n\r\n", [200], b"GET /slow 0"),
@@ -58,11 +58,11 @@
         (b"GET /a HTTP/1.1\r\n\r\n", [200], b"GET /a 0"),  # then closed as idle
     ],
 )
-def test_framing(raw, statuses, last_words):
-    answer = asyncio.run(talk(raw))
-    heads = [int(part[:3]) for part in answer.split(b"HTTP/1.1 ")[1:]]
-    assert heads == statuses
-    assert answer.endswith(last_words)
+def test_framing(raw, statuses, body_end):
+    answer = asyncio.run(send_raw(raw))
+    received_statuses = [int(part[:3]) for part in answer.split(b"HTTP/1.1 ")[1:]]
+    assert received_statuses == statuses
+    assert answer.endswith(body_end)
 
 
 def test_connections_beyond_the_limit_displace_idle_ones():
--- a/tests/test_loopback_restart.py
+++ b/tests/test_loopback_restart.py
@@ -1,34 +1,34 @@
-"""The real process over stand-ins on loopback: finished jobs survive kill -9 and a restart."""
+"""A real controller process with stand-in services on loopback: finished jobs survive kill -9 and a restart."""
 
 import asyncio
 
 from standins.loopback_cluster import LoopbackCluster
 
-TIMEOUT_S = 60.0  # far above what it takes; only a failure comes near it
+TIMEOUT_S = 60.0  # far above the usual duration, so that only a failure reaches it
 
 
-async def run_jobs_across_a_restart(folder):
+async def run_jobs_across_a_restart(directory):
     cluster = LoopbackCluster(5, zones=("a",), node_count=1, machines=2)
-    await cluster.serve(folder)
+    await cluster.serve(directory)
     await cluster.start()
     try:
         async with asyncio.timeout(TIMEOUT_S):
-            first = cluster.job(1, volumes=2)
-            gang = cluster.job(2, format="group", volumes=2)
-            cluster.spawn(cluster.user(gang, run_s=0.5))
-            cluster.spawn(cluster.user(first, run_s=0.5))
+            array_job = cluster.job(1, volumes=2)
+            gang_job = cluster.job(2, format="group", volumes=2)
+            cluster.spawn(cluster.user(gang_job, run_s=0.5))
+            cluster.spawn(cluster.user(array_job, run_s=0.5))
             while cluster.done_users < 2:
                 await asyncio.sleep(0.1)
             await cluster.kill()
             await cluster.start()
-            asked = cluster.now()
+            asked_at = cluster.now()
             status, answer = 0, {}
             while status != 200:
                 await asyncio.sleep(0.1)
-                asked = cluster.now()
-                status, answer = await cluster.ask("GET", f"/v2/runs/{first['ref']}")
+                asked_at = cluster.now()
+                status, answer = await cluster.ask("GET", f"/v2/runs/{array_job['ref']}")
                 assert status != 404
-            cluster.checker.answered(first["ref"], asked, status, answer)
+            cluster.checker.answered(array_job["ref"], asked_at, status, answer)
             assert answer["status"] == "done"
             cluster.spawn(cluster.user(cluster.job(3), run_s=0.5))
             while cluster.done_users < 3:
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -1,4 +1,4 @@
-"""Users' writes have priority: submissions queue neither behind queries nor behind the leader's own writes."""
+"""Priority of users' writes: submissions queue neither behind queries nor behind the leader's own writes."""
 
 import asyncio
 
@@ -9,22 +9,22 @@
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
-PROMPT_S = 0.15  # of virtual time: one commit, and the delay of a few changes at the store's rate limit
+MAX_LATENCY_S = 0.15  # of virtual time: one commit, and the delay of a few writes at the store's rate limit
 
-FEW_REQUESTS = 12.0  # to the key-value store a second, as a follower of a small deployment has
+FOLLOWER_REQUESTS_PER_S = 12.0  # to the key-value store, as for a follower of a small deployment
 
 
 async def submit(cluster, node, number):
-    """Submit a job to one controller; the status and how long the answer took."""
-    began = cluster.now()
+    """Submit a job to one controller; return the status and the latency of the answer."""
+    started_at = cluster.now()
     spec = cluster.job(number)
     cluster.specs[spec["ref"]], cluster.run_times[spec["ref"]] = spec, 5.0
     status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(spec), 5.0, node=node)
-    return status, cluster.now() - began
+    return status, cluster.now() - started_at
 
 
 async def query_repeatedly(cluster, node, job, answers):
-    """A user who queries a job ten times a second."""
+    """Query a job ten times a second, as one user."""
     while True:
         status, _ = await cluster.ask("GET", f"/v2/runs/{job}", node=node)
         answers.append(status)
@@ -33,44 +33,44 @@
 
 @pytest.mark.parametrize("leading", [False, True])
 def test_submissions_do_not_queue_behind_queries(leading):
-    """Each query's read of the store once counted against the node's rate limit, and commits waited behind them."""
+    """Guards against a store read for each query: the reads used up the node's rate limit, and commits waited."""
 
     async def main():
         cluster = SimulatedCluster(400)
         leader = await cluster.wait_for_leader()
         node = leader if leading else next(name for name in cluster.nodes if name != leader)
         await submit(cluster, node, 1)
-        requests = cluster.nodes[node].node.store.request_bucket
-        requests.rate = requests.burst = FEW_REQUESTS
+        request_bucket = cluster.nodes[node].node.store.request_bucket
+        request_bucket.rate = request_bucket.burst = FOLLOWER_REQUESTS_PER_S
         answers = []
         for _ in range(80):
             await asyncio.sleep(0.013)
             cluster.spawn(query_repeatedly(cluster, node, "wk-000001", answers))
         await asyncio.sleep(1.0)
-        took = []
+        results = []
         for number in range(2, 12):
-            took.append(await submit(cluster, node, number))
+            results.append(await submit(cluster, node, number))
             await asyncio.sleep(0.7)
-        return took, answers
+        return results, answers
 
-    took, answers = virtual_time.run(main())
-    assert [status for status, _ in took] == [201] * 10
-    assert max(seconds for _, seconds in took) < PROMPT_S
-    assert answers.count(200) > len(answers) / 2  # and most queries are answered
+    results, answers = virtual_time.run(main())
+    assert [status for status, _ in results] == [201] * 10
+    assert max(latency_s for _, latency_s in results) < MAX_LATENCY_S
+    assert answers.count(200) > len(answers) / 2  # most queries are answered
 
 
 def test_a_full_limit_on_queries_refuses_no_submission():
     async def main():
         cluster = SimulatedCluster(401)
         await cluster.wait_for_leader()
-        users = cluster.nodes["n0"].node.user_api
-        users.read_limiter.in_progress = int(users.read_limiter.limit)
+        user_api = cluster.nodes["n0"].node.user_api
+        user_api.read_limiter.in_progress = int(user_api.read_limiter.limit)
         answers = []
         for request in (
             Request("GET", "/v2/runs/wk-000001", b""),
             Request("POST", "/v2/runs", cbor2.dumps(cluster.job(1))),
         ):
-            answer = users.handle(request)
+            answer = user_api.handle(request)
             answers.append(answer if isinstance(answer, Response) else await answer)
         return answers
 
@@ -80,7 +80,7 @@
 
 
 def test_submissions_do_not_queue_behind_the_writes_of_many_finished_jobs():
-    """The leader once spent its rate of changes for a second ahead on each large transaction of its own."""
+    """Guards against transactions of the leader so large that each uses up its write rate for a second ahead."""
 
     async def main():
         cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, limit=100.0)
@@ -90,17 +90,17 @@
             spec = cluster.job(number, **body)
             cluster.spawn(cluster.user(spec, run_s=3.0 + number % 7))
         await asyncio.sleep(12.0)
-        took = []
+        results = []
         for number in range(1, 13):
-            took.append(await submit(cluster, leader, number))
+            results.append(await submit(cluster, leader, number))
             await asyncio.sleep(0.5)
         backlog = len(cluster.nodes[leader].node.leader_term.job_table.jobs)
         await asyncio.sleep(60.0)
-        return took, backlog, cluster
+        return results, backlog, cluster
 
-    took, backlog, cluster = virtual_time.run(main())
-    assert backlog > 50  # the leader's writes were behind all the while
-    assert [status for status, _ in took] == [201] * 12
-    assert max(seconds for _, seconds in took) < PROMPT_S
-    assert cluster.done_users == 300  # whose writes were held up, but not for ever
+    results, backlog, cluster = virtual_time.run(main())
+    assert backlog > 50  # the leader had a backlog of writes all the time
+    assert [status for status, _ in results] == [201] * 12
+    assert max(latency_s for _, latency_s in results) < MAX_LATENCY_S
+    assert cluster.done_users == 300  # the leader's writes were delayed but completed
     assert cluster.checker.broken == []
