--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -97,8 +97,7 @@
     def _is_any_gang_restarting(self) -> bool:
         """Whether a gang waits for the end of its last attempt, and so needs its machines again.
 
-        A gang with tasks on machines that are cut off is in no queue; without this check its other machines were
-        deleted.
+        A gang with tasks on machines that are cut off is in no queue, so that its other machines would be deleted.
         """
         return any(
             job.spec.kind is JobKind.GANG and job.attempt_count > 0 and job.waiting > 0 and not job.cancelled
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -63,7 +63,10 @@
         return Response(421, worker_wire.redirect(node))
 
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """Return commands to stop the tasks of cancelled jobs, the only ones that need no job table."""
+        """Return commands to stop the tasks of cancelled jobs.
+
+        A controller without a job table must send these and can send no others.
+        """
         return [
             Command(CommandKind.STOP, task.job, task.index, task.attempt_number)
             for task in heartbeat.tasks
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -60,8 +60,10 @@
         if machine_type is None:
             # its tasks can't be reconciled, and every renewal must be recorded in the inventory
             return None
-        known = self.inventory.machines.get(heartbeat.machine)
-        was_usable = known is not None and known.heartbeat_received and known.acknowledged_term
+        known_machine = self.inventory.machines.get(heartbeat.machine)
+        was_usable = (
+            known_machine is not None and known_machine.heartbeat_received and known_machine.acknowledged_term
+        )
         machine = self.inventory.observe(heartbeat, machine_type, now)
         if machine is None:
             return None  # a late copy, or from a deleted machine: an answer would renew its lease by mistake
