--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -139,7 +139,7 @@
         flows = self.admitter.demand.demand(self.clock.number(now), now)
         self._reports += 1
         return DemandReport(
-            self.settings.node, self.incarnation, self._started_ms, self._reports, self.leadership.known_term, flows
+            self.settings.node, self.incarnation, self._started_ms, self._reports, self.leadership.highest_term, flows
         )
 
     def outgoing(self) -> bytes:
@@ -160,7 +160,7 @@
                 self._malformed_logged_at = now
                 info("demand_report_malformed", node=node, error=problem)
             return
-        self.demand.update(report, self.leadership.known_term, monotonic_time())
+        self.demand.update(report, self.leadership.highest_term, monotonic_time())
 
     # -- leading ---------------------------------------------------------------------------------------------
 
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -15,7 +15,7 @@
 from passrock.logs import debug, error
 from passrock.settings import Settings
 
-MACHINE_TYPES_RETRY_S = 1.0
+MACHINE_TYPES_RETRY_DELAY_S = 1.0
 
 BackgroundTask = Callable[[], Awaitable[None]]
 
@@ -33,29 +33,31 @@
         try:
             await task()
             return
-        except Exception as problem:  # noqa: BLE001 - no answer from outside may end the process
-            error("background_task_failed", error=repr(problem))
+        except Exception as exc:  # noqa: BLE001 - no answer from outside may end the process
+            error("background_task_failed", error=repr(exc))
             await asyncio.sleep(restart_delay_s)
 
 
-async def load_machine_types(settings: Settings, cloud: CloudClient, catalog: MachineCatalog, sockets: int) -> None:
+async def load_machine_types(
+    settings: Settings, cloud: CloudClient, catalog: MachineCatalog, max_sockets: int
+) -> None:
     """Ask the cloud for its machine types until it answers: nothing can be decided without them."""
     while not catalog.types:
         try:
             catalog.types = await cloud.machine_types()
-        except CloudError as problem:
-            debug("machine_types_unavailable", error=problem)
-            await asyncio.sleep(MACHINE_TYPES_RETRY_S)
-    _check_socket_limit(settings, catalog, sockets)
+        except CloudError as exc:
+            debug("machine_types_unavailable", error=exc)
+            await asyncio.sleep(MACHINE_TYPES_RETRY_DELAY_S)
+    _check_socket_limit(settings, catalog, max_sockets)
 
 
-def _check_socket_limit(settings: Settings, catalog: MachineCatalog, sockets: int) -> None:
-    """Log once when the sockets are too few for the machines that the guarantees need."""
+def _check_socket_limit(settings: Settings, catalog: MachineCatalog, max_sockets: int) -> None:
+    """Log once when the max_sockets are too few for the machines that the guarantees need."""
     largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
     guaranteed = sum(team.gpus for team in settings.teams.values())
-    if largest > 0 and guaranteed / largest > sockets:
+    if largest > 0 and guaranteed / largest > max_sockets:
         machines = math.ceil(guaranteed / largest)
-        error("socket_limit_below_quota", sockets=sockets, machines_guaranteed=machines)
+        error("socket_limit_below_quota", sockets=max_sockets, machines_guaranteed=machines)
 
 
 async def probe_store(store: KeyValueStoreClient, interval_s: float) -> None:
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -20,11 +20,11 @@
 from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 
-RETRY_S = 0.2
-RECORD_BYTES = 700  # a record beside its attempts
-TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
-SHORTEST_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
-SUBMISSION_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node
+RETRY_DELAY_S = 0.2
+RECORD_OVERHEAD_BYTES = 700  # a record beside its attempts
+MAX_TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
+MIN_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
+SUBMISSION_WRITE_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node
 MIN_SUBMISSION_WRITES = 2.0  # left for them at the least
 
 
@@ -54,7 +54,7 @@
         self.txn_ops = txn_ops
         self.orphaned_keys: list[str] = []
         self.finalized: set[str] = set()
-        self.wake = asyncio.Event()
+        self.commit_requested = asyncio.Event()
         self.on_finalized = on_finalized
         self.on_committed = on_committed
         self.on_leadership_lost = on_leadership_lost
@@ -71,16 +71,16 @@
     async def run(self) -> None:
         """Commit for ever."""
         while True:
-            await self.wake.wait()
-            self.wake.clear()
+            await self.commit_requested.wait()
+            self.commit_requested.clear()
             while self.job_table.uncommitted or self.job_table.finalizing or self.orphaned_keys:
-                transaction = self.build(await self._writes_left())
+                transaction = self.build_transaction(await self._wait_for_write_budget())
                 if not transaction.writes:
                     break
                 if not await self.commit(transaction):
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _writes_left(self) -> int:
+    async def _wait_for_write_budget(self) -> int:
         """How many writes the next transaction may have, so that submissions find a part of the rate left.
 
         A transaction of full size spent the rate for a second ahead, and what users sent meanwhile waited as
@@ -88,7 +88,7 @@
         """
         budget = self.store.writes
         least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
-        reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_SHARE), budget.burst / 2)
+        reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_WRITE_SHARE), budget.burst / 2)
         turn = monotonic_time() + budget.burst / budget.rate
         while True:
             left = budget.available(monotonic_time()) - reserve
@@ -97,9 +97,9 @@
             now = monotonic_time()
             if now >= turn:
                 return self.txn_ops
-            await asyncio.sleep(max(SHORTEST_SLEEP_S, min((least - left) / budget.rate, turn - now)))
+            await asyncio.sleep(max(MIN_SLEEP_S, min((least - left) / budget.rate, turn - now)))
 
-    def build(self, limit: int) -> RecordTransaction:
+    def build_transaction(self, limit: int) -> RecordTransaction:
         """The next transaction of up to ``limit`` writes, inside the limit on its size.
 
         Jobs that have ended go first; orphaned records are deleted when nothing more urgent is left.
@@ -119,7 +119,7 @@
 
     def _add_pages(self, transaction: RecordTransaction, limit: int) -> None:
         finalized = {finalization.job.spec.id for finalization in transaction.finalizations}
-        bytes_left = TRANSACTION_BYTES
+        bytes_left = MAX_TRANSACTION_BYTES
         for job_id, number in self.job_table.uncommitted:
             if len(transaction.writes) + 1 > limit or bytes_left < 0:
                 break
@@ -127,7 +127,7 @@
                 continue
             job = self.job_table.jobs[job_id]
             transaction.add_page(job, number)
-            bytes_left -= RECORD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
+            bytes_left -= RECORD_OVERHEAD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
 
     async def commit(self, transaction: RecordTransaction) -> bool:
         """Carry out one transaction; False when it has to be tried again later."""
@@ -136,12 +136,12 @@
         except UnknownOutcomeError:
             self.orphaned_keys += transaction.orphaned_keys
             return await self._refresh_revisions(transaction)
-        except StoreError as problem:
-            debug("commit_failed", error=problem)
+        except StoreError as exc:
+            debug("commit_failed", error=exc)
             self.orphaned_keys += transaction.orphaned_keys
             return False
         if isinstance(result, Committed):
-            self._committed(transaction, result.revision)
+            self._record_commit(transaction, result.revision)
             return True
         self.orphaned_keys += transaction.orphaned_keys
         if keys.LEADER in result.conflicting_keys:
@@ -149,7 +149,7 @@
             return False
         return await self._refresh_revisions(transaction)
 
-    def _committed(self, transaction: RecordTransaction, revision: int) -> None:
+    def _record_commit(self, transaction: RecordTransaction, revision: int) -> None:
         for write in transaction.page_writes:
             page = write.page
             page.mod_revision = revision
@@ -157,10 +157,10 @@
             if page.version == write.version:  # it has not changed meanwhile
                 self.job_table.uncommitted.pop((write.job.spec.id, write.number), None)
         for finalization in transaction.finalizations:
-            self._job_finalized(finalization.job, finalization.status)
+            self._finalize_job(finalization.job, finalization.status)
         self.on_committed()
 
-    def _job_finalized(self, job: Job, status: str) -> None:
+    def _finalize_job(self, job: Job, status: str) -> None:
         info("job_finalized", job=job.spec.id, status=status)
         job.final_status = status
         self.finalized.add(job.spec.id)
@@ -192,7 +192,7 @@
         """A job may have been finalized by the transaction of unknown outcome, or cancelled before it."""
         final, _ = await self.store.get(keys.final(job.spec.id))
         if final is not None:
-            self._job_finalized(job, decode_record(final.value, FinalRecord).status)
+            self._finalize_job(job, decode_record(final.value, FinalRecord).status)
             return
         job.page(0).mod_revision = await self._revision(keys.job(job.spec.id))
         cancellation, _ = await self.store.get(keys.cancellation(job.spec.id))
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -95,9 +95,9 @@
         self._notice_own_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.delete_with_cancelled_tasks(now)  # cancel_s runs on through an outage
+                self.failure_detector.delete_machines_with_cancelled_tasks(now)  # cancel_s runs on through an outage
             return
-        self.fence.check()
+        self.fence.update()
         planning = now >= self._plan_due
         if planning:
             self._plan_due = now + self.settings.report_s * PLAN_INTERVAL
@@ -108,7 +108,7 @@
             self.autoscaler.adjust(self.scheduler.waiting, now)
         self.rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
-            self.commit_queue.wake.set()
+            self.commit_queue.commit_requested.set()
         self.evaluations.note_finished()
 
     def _notice_own_pause(self, now: float) -> None:
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -25,15 +25,15 @@
 CORRELATED_OUTAGE_DIVISOR = 8
 CORRELATED_OUTAGE_MIN_MACHINES = 4
 # Added to twice the majority, so that two failures in a small cluster are no majority.
-SMALL_CLUSTER_ALLOWANCE = 2
+MAJORITY_MARGIN_MACHINES = 2
 # Part of the lease for which machines with replicas are waited for in such an outage: by then it has all but ended.
-REPLICA_OUTAGE_LEASE_RATIO = 0.9
+PRODUCTION_OUTAGE_LEASE_RATIO = 0.9
 # Part of cancel_s after which an unresponsive machine with tasks of a cancelled job is deleted.
-CANCELLED_TASK_RATIO = 0.5
+CANCELLED_TASK_TIMEOUT_RATIO = 0.5
 # Heartbeat intervals without an answer of a peer after which workers may be waiting for that peer.
-PEER_UNRESPONSIVE_INTERVALS = 0.5
+PEER_UNRESPONSIVE_HEARTBEATS = 0.5
 # Until the cloud's list shows a machine that died as failed.
-FAILURE_LISTED_S = 30.0
+FAILURE_LISTING_DELAY_S = 30.0
 # Jobs whose tasks failed on one machine from which on the machine is at fault.
 CORDON_MIN_FAILED_JOBS = 2
 
@@ -67,12 +67,12 @@
     @property
     def is_majority(self) -> bool:
         """Whether most machines are unresponsive: then none is deleted."""
-        return _is_most_of_cluster(len(self.unresponsive), self.monitored)
+        return _is_majority_of_cluster(len(self.unresponsive), self.monitored)
 
 
-def _is_most_of_cluster(count: int, monitored: int) -> bool:
+def _is_majority_of_cluster(count: int, monitored: int) -> bool:
     """More than half; a few more in a small cluster, where two machines may well fail at the same time."""
-    return count * 2 > monitored + SMALL_CLUSTER_ALLOWANCE
+    return count * 2 > monitored + MAJORITY_MARGIN_MACHINES
 
 
 class FailureDetector:
@@ -113,8 +113,8 @@
 
     def evaluate(self, now: float) -> None:
         """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
-        self.delete_with_cancelled_tasks(now)
-        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s * PEER_UNRESPONSIVE_INTERVALS)
+        self.delete_machines_with_cancelled_tasks(now)
+        peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s * PEER_UNRESPONSIVE_HEARTBEATS)
         self.health.discovery_s = WORKER_REQUEST_TIMEOUT_S if peer_unresponsive else 0.0
         monitored = self._monitored()
         outage = self._assess_outage(monitored, now)
@@ -132,13 +132,13 @@
         if now - self.health.observing_since > 2 * self.health.unresponsive_after_s:
             self._resolve_unlisted()
 
-    def delete_with_cancelled_tasks(self, now: float) -> None:
+    def delete_machines_with_cancelled_tasks(self, now: float) -> None:
         """Delete unresponsive machines that may hold tasks of cancelled jobs, before ``cancel_s`` is over.
 
         A hung machine holds its tasks beyond its lease, until it wakes or is deleted. Neither a correlated outage
         nor one of the key-value store changes that.
         """
-        cancelled_before = now - self.settings.cancel_s * CANCELLED_TASK_RATIO
+        cancelled_before = now - self.settings.cancel_s * CANCELLED_TASK_TIMEOUT_RATIO
         for job in self.job_table.cancelled.values():
             if job.cancelled_at > cancelled_before:
                 continue
@@ -194,9 +194,9 @@
             machine.in_correlated_outage = machine.in_correlated_outage or outage.is_correlated
             if self._may_recover(machine, outage, now):
                 continue
-            unseen_s = now - machine.last_heartbeat_at
-            if machine.name in self.job_table.attempts_by_machine or unseen_s > self.settings.lease_s:
-                info("machine_heartbeat_missed", machine=machine.name, for_s=round(unseen_s, 1))
+            silence_s = now - machine.last_heartbeat_at
+            if machine.name in self.job_table.attempts_by_machine or silence_s > self.settings.lease_s:
+                info("machine_heartbeat_missed", machine=machine.name, for_s=round(silence_s, 1))
                 self._deleted_unresponsive_at.append(now)
                 self.provisioner.deprovision(machine)
 
@@ -206,8 +206,8 @@
             outage_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
             if outage_s < self._outage_timeout_s(machine):
                 return True
-        unseen_s = now - self.health.last_seen_at(machine)
-        return outage.is_emerging and unseen_s < self.health.unresponsive_after_s + self.settings.report_s
+        silence_s = now - self.health.last_seen_at(machine)
+        return outage.is_emerging and silence_s < self.health.unresponsive_after_s + self.settings.report_s
 
     def _outage_timeout_s(self, machine: Machine) -> float:
         """How long a machine in a correlated outage is waited for.
@@ -218,15 +218,15 @@
         """
         attempts = self.job_table.attempts_on(machine.name)
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
-            return self.settings.lease_s * REPLICA_OUTAGE_LEASE_RATIO
-        return self.health.return_timeout_s(machine) + FAILURE_LISTED_S + 2 * self.settings.list_lag_s
+            return self.settings.lease_s * PRODUCTION_OUTAGE_LEASE_RATIO
+        return self.health.return_timeout_s(machine) + FAILURE_LISTING_DELAY_S + 2 * self.settings.list_lag_s
 
     # -- other failures -----------------------------------------------------------------------------
 
     def _delete_unreachable_inbound(self, monitored: list[Machine], now: float) -> None:
         """Delete machines that no answer reaches, unless they are so many that the cause is elsewhere."""
         unreachable = [machine for machine in monitored if self.health.is_unreachable_inbound(machine, now)]
-        if _is_most_of_cluster(len(unreachable), len(monitored)):
+        if _is_majority_of_cluster(len(unreachable), len(monitored)):
             return
         for machine in unreachable:
             info(
@@ -240,7 +240,7 @@
         """Free the tasks of a machine whose lease nobody can have renewed."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
-        if not self.health.is_lease_expired(machine, now, self.fence.confirmed_at):
+        if not self.health.is_lease_expired(machine, now, self.fence.effective_at):
             return
         lost = self.job_table.lease_expired(machine.name, now)
         if lost:
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -10,7 +10,7 @@
 from passrock.settings import Settings
 
 STORE_DOWN_AFTER_S = 1.5  # without an answer of the store
-PEER_ANSWER_AGE_S = 3.0  # a peer's answer to an older question doesn't count
+MAX_PEER_ANSWER_AGE_S = 3.0  # a peer's answer to an older question doesn't count
 
 
 class HealthCheck:
@@ -42,7 +42,7 @@
         now = monotonic_time()
         if not self.store.is_unavailable(now, STORE_DOWN_AFTER_S):
             return True
-        heartbeats = self.peers.heartbeats(now - PEER_ANSWER_AGE_S)
+        heartbeats = self.peers.heartbeats(now - MAX_PEER_ANSWER_AGE_S)
         if any(not heartbeat.store_down for heartbeat in heartbeats):
             return False
         return is_majority(len(heartbeats) + 1, self.settings.nodes)
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -56,7 +56,7 @@
     def _answer_as_follower(self, heartbeat: WorkerHeartbeat) -> Response:
         if self.renewal.may_renew_leaderless(heartbeat.token):
             return Response(200, worker_wire.answer(heartbeat.token, self._stop_cancelled(heartbeat)))
-        node = self.redirects.target(heartbeat.machine, heartbeat.token)
+        node = self.redirects.redirect_target(heartbeat.machine, heartbeat.token)
         return Response(421, worker_wire.redirect(node))
 
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -71,7 +71,7 @@
             _log_changes(result, machine, now)
             self.evaluations.request()
         if self.job_table.uncommitted or self.job_table.finalizing:
-            self.commit_queue.wake.set()
+            self.commit_queue.commit_requested.set()
         if machine.deleting:
             return None  # its deletion may take long: unanswered, its lease ends as well
         machine.last_answer_at = now
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -58,7 +58,7 @@
 
     def is_known(self, job_id: str) -> bool:
         """Whether the replica shows that the job was accepted once."""
-        return job_id in self.replica.finals or self.replica.get(keys.job(job_id)) is not None
+        return job_id in self.replica.final_statuses or self.replica.get(keys.job(job_id)) is not None
 
     async def find(self, job_id: str) -> JobStatus | None:
         """The job's state, not older than this call; None when there is no such job.
@@ -85,7 +85,7 @@
         return await self._read_unfinished(job_id)
 
     def _cached_final(self, job_id: str) -> JobStatus | None:
-        status = self.replica.finals.get(job_id)
+        status = self.replica.final_statuses.get(job_id)
         return JobStatus(status) if status is not None else None
 
     def _from_replica(self, job_id: str) -> JobStatus | None:
@@ -122,7 +122,7 @@
         if entry is None:
             return None
         final = decode_record(entry.value, FinalRecord)
-        self.replica.note_final(job_id, final.status)
+        self.replica.cache_final_status(job_id, final.status)
         return JobStatus(final.status, final.tasks if final.status == DONE else 0)
 
     async def _read(self, key: str) -> Entry | None:
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -36,8 +36,8 @@
 from passrock.logs import error, info
 from passrock.settings import Settings
 
-REPLICA_WAIT_S = 1.0
-MACHINE_TYPES_POLL_S = 0.1
+REPLICA_TIMEOUT_S = 1.0
+MACHINE_TYPES_POLL_INTERVAL_S = 0.1
 
 
 class LeaderTerm:
@@ -65,8 +65,8 @@
         self.ready = False
         self.tasks: list[asyncio.Task[None]] = []
         self._build_tables(settings)
-        self._build_decisions(settings)
-        self._build_actions(settings, store, cloud)
+        self._build_scheduler(settings)
+        self._build_writers(settings, store, cloud)
         self._build_evaluation(settings)
         self._build_event_handlers(settings)
 
@@ -81,21 +81,21 @@
         self.assignments: dict[str, str] = {}  # machine -> team, as binding rounds leave them
         self.evaluations = Evaluations()
 
-    def _build_decisions(self, settings: Settings) -> None:
+    def _build_scheduler(self, settings: Settings) -> None:
         operator = settings.operator
         starvation_threshold_s = operator.begin_within_s * operator.keep_room_ratio
         objectives = ServiceLevelObjectives(settings.objectives, starvation_threshold_s)
         self.scheduler = Scheduler(self.job_table, self.inventory, settings.teams, self.assignments, objectives)
         self.preemption = Preemption(self.scheduler)
 
-    def _build_actions(self, settings: Settings, store: KeyValueStoreClient, cloud: CloudClient) -> None:
+    def _build_writers(self, settings: Settings, store: KeyValueStoreClient, cloud: CloudClient) -> None:
         leadership = self.leadership
         self.commit_queue = CommitQueue(
             store,
             self.job_table,
             leadership.leader_revision,
             settings.txn_ops,
-            on_finalized=self.replica.note_final,
+            on_finalized=self.replica.cache_final_status,
             on_committed=self.evaluations.note_progress,
             on_leadership_lost=lambda: leadership.step_down("leader key lost"),
         )
@@ -106,7 +106,7 @@
             self.catalog,
             self.inventory,
             leadership,
-            on_machine_lost=self._machine_lost,
+            on_machine_lost=self._on_machine_lost,
             on_change=self.evaluations.request,
         )
         self.rounds = BindingRounds(
@@ -122,7 +122,7 @@
             self.fence,
             self.peers,
             self.provisioner,
-            on_machine_lost=self._machine_lost,
+            on_machine_lost=self._on_machine_lost,
         )
         autoscaler = Autoscaler(
             settings, self.job_table, self.inventory, self.catalog, self.scheduler, self.preemption, self.provisioner
@@ -178,14 +178,14 @@
         self.rounds.stop()
         self.replica.unsubscribe(self.state_events.on_change)
 
-    def cancelled(self, job_id: str, at: float) -> None:
+    def on_cancellation(self, job_id: str, at: float) -> None:
         """A cancellation is committed; one from before the records are loaded is applied by loading them."""
         if self.ready:
-            self.state_events.cancelled(job_id, at)
+            self.state_events.on_cancellation(job_id, at)
 
-    def _machine_lost(self, name: str) -> None:
+    def _on_machine_lost(self, name: str) -> None:
         # looked up when called: the parts that call this are made before the event handlers
-        self.state_events.machine_lost(name)
+        self.state_events.on_machine_lost(name)
 
     async def _resign_on_failure(self, work: Awaitable[None]) -> None:
         """Step down when a part of the term fails: a leader whose work has ended must not go on holding the key."""
@@ -193,17 +193,17 @@
             await work
         except asyncio.CancelledError:
             raise
-        except Exception as problem:
-            error("leader_term_failed", error=repr(problem))
+        except Exception as exc:
+            error("leader_term_failed", error=repr(exc))
             self.leadership.step_down("internal failure")
             raise
 
     async def _run(self) -> None:
-        while not await self.replica.reach(self.leadership.leader_revision, REPLICA_WAIT_S):
+        while not await self.replica.wait_for_revision(self.leadership.leader_revision, REPLICA_TIMEOUT_S):
             pass
         while not self.catalog.types:
-            await asyncio.sleep(MACHINE_TYPES_POLL_S)
-        self._load()
+            await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
+        self._load_records()
         self.tasks += [
             asyncio.create_task(self._resign_on_failure(work))
             for work in (
@@ -215,7 +215,7 @@
         self.provisioner.resume_requests(self.replica.with_prefix(keys.PROVISIONING_INTENT))
         await self.evaluation_loop.run()
 
-    def _load(self) -> None:
+    def _load_records(self) -> None:
         load_records(self.replica, self.cancellations, self.job_table, self.inventory, self.rounds, self.commit_queue)
         self.replica.subscribe(self.state_events.on_change)
         self.ready = True
@@ -225,4 +225,4 @@
             jobs=len(self.job_table.jobs),
             machines=len(self.job_table.attempts_by_machine),
         )
-        self.commit_queue.wake.set()
+        self.commit_queue.commit_requested.set()
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -19,13 +19,13 @@
 from passrock.wire.store import Entry, Put, Write
 
 RENEWALS_PER_LEASE = 4
-RENEWAL_TIMEOUTS_PER_LEASE = 3
+RENEWAL_TIMEOUT_DIVISOR = 3
 CAMPAIGN_CHECKS_PER_LEASE = 20  # a free key is noticed within a small part of the lease
-RETRIES_PER_LEASE = 10  # after a request that failed
-JITTER_PER_LEASE = 40  # campaigns of several nodes begin apart by up to this part of the lease
+RETRY_DELAY_DIVISOR = 10  # after a request that failed
+CAMPAIGN_JITTER_DIVISOR = 40  # campaigns of several nodes begin apart by up to this part of the lease
 
 INCARNATION_MASK = (1 << 48) - 1  # 48 bits
-RESIGN_WORKER_LEASES = 0.5  # worker leases for which a controller that has resigned does not campaign
+CAMPAIGN_PAUSE_WORKER_LEASES = 0.5  # worker leases for which a controller that has resigned does not campaign
 
 
 class Leadership:
@@ -33,7 +33,7 @@
 
     Attributes:
         term: the term that this node leads or last led, which is its fencing token; 0 for none.
-        known_term: the highest term seen anywhere.
+        highest_term: the highest term seen anywhere.
         leading: whether this node has won a campaign and not stepped down since. Its lease may have expired:
             see ``holds_lease``.
         leader_revision: the leader key's revision in that term; every write of the leader is conditional on it.
@@ -51,7 +51,7 @@
         self.incarnation = hash(rng.getstate()[1]) & INCARNATION_MASK
         self.lease_ttl_s = settings.leader_lease_s
         self.term = 0
-        self.known_term = 0
+        self.highest_term = 0
         self.leading = False
         self.leader_revision = 0
         self.lease_deadline = NEVER
@@ -59,7 +59,7 @@
         self._campaign_not_before = NEVER
         self._role_listeners: list[Callable[[], None]] = []
         self._background_tasks: set[asyncio.Task[None]] = set()  # the event loop itself keeps no reference to a task
-        replica.subscribe(self._on_change)
+        replica.subscribe(self._on_key_change)
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Have ``listener`` called whenever this node begins or ceases to lead."""
@@ -73,8 +73,8 @@
 
     def observe_term(self, term: int) -> None:
         """A term was seen anywhere: one higher than this node's own ends its leadership at once."""
-        if term > self.known_term:
-            self.known_term = term
+        if term > self.highest_term:
+            self.highest_term = term
         if self.leading and term > self.term:
             self.step_down("higher term")
 
@@ -82,7 +82,7 @@
         """Observe the highest term that a peer knows."""
         self.observe_term(heartbeat.term)
 
-    def _on_change(self, key: str, entry: Entry | None) -> None:
+    def _on_key_change(self, key: str, entry: Entry | None) -> None:
         """A term that the replica shows counts at once, before any worker is redirected to its old leader."""
         if key == keys.TERM and entry is not None and isinstance(entry.value, int):
             self.observe_term(entry.value)
@@ -95,7 +95,7 @@
             info("leadership_lost", term=self.term, reason=reason)
             self.leading = False
             self.lease_deadline = NEVER
-            self._notify()
+            self._notify_listeners()
 
     def resign(self) -> None:
         """Yield to a controller that the workers reach, before their leases expire.
@@ -103,7 +103,7 @@
         The lease is revoked so that another can campaign at once, and this node doesn't for a while.
         """
         self.step_down("workers reach other controllers only")
-        self._campaign_not_before = monotonic_time() + self.settings.lease_s * RESIGN_WORKER_LEASES
+        self._campaign_not_before = monotonic_time() + self.settings.lease_s * CAMPAIGN_PAUSE_WORKER_LEASES
         task = asyncio.create_task(self._revoke_lease(self._lease_id))
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
@@ -111,10 +111,10 @@
     async def _revoke_lease(self, lease_id: int) -> None:
         try:
             await self.store.end_lease(lease_id)
-        except StoreError as problem:
-            info("leader_lease_revocation_failed", error=problem)  # it expires by itself
+        except StoreError as exc:
+            info("leader_lease_revocation_failed", error=exc)  # it expires by itself
 
-    def _notify(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._role_listeners:
             listener()
 
@@ -131,27 +131,29 @@
                     await self._campaign_if_free()
                     await asyncio.sleep(self.lease_ttl_s / CAMPAIGN_CHECKS_PER_LEASE)
             except StoreError:
-                await asyncio.sleep(self.lease_ttl_s / RETRIES_PER_LEASE)
+                await asyncio.sleep(self.lease_ttl_s / RETRY_DELAY_DIVISOR)
 
     async def _renew_lease(self) -> None:
-        started = monotonic_time()
-        timeout = self.lease_ttl_s / RENEWAL_TIMEOUTS_PER_LEASE
+        requested_at = monotonic_time()
+        timeout = self.lease_ttl_s / RENEWAL_TIMEOUT_DIVISOR
         try:
             await self.store.renew(self._lease_id, timeout=timeout)
         except LeaseExpiredError:
             self.step_down("lease ended")
             return
-        if started >= self.lease_deadline:  # the lease may have expired meanwhile: make sure that the key is ours
+        if (
+            requested_at >= self.lease_deadline
+        ):  # the lease may have expired meanwhile: make sure that the key is ours
             entry, _ = await self.store.get(keys.LEADER, timeout=timeout)
             if entry is None or entry.mod_revision != self.leader_revision:
                 self.step_down("key lost")
                 return
         if self.leading:
-            self.lease_deadline = self._deadline(started)
+            self.lease_deadline = self._lease_deadline_after(requested_at)
 
-    def _deadline(self, started: float) -> float:
-        """Until when a lease that was granted or renewed by a request sent at ``started`` lives by any clock."""
-        return started + self.lease_ttl_s / CLOCK_DRIFT_FACTOR
+    def _lease_deadline_after(self, requested_at: float) -> float:
+        """Until when a lease that was granted or renewed by a request sent at ``requested_at`` lives by any clock."""
+        return requested_at + self.lease_ttl_s / CLOCK_DRIFT_FACTOR
 
     async def _campaign_if_free(self) -> None:
         if not self.replica.loaded or monotonic_time() < self._campaign_not_before:
@@ -169,10 +171,10 @@
 
     async def _campaign(self, leader: Entry | None, stored_term: Entry | None) -> None:
         """Try to acquire the leader key, as the replica shows it, together with the next term."""
-        await asyncio.sleep(self.rng.random() * self.lease_ttl_s / JITTER_PER_LEASE)
-        started = monotonic_time()
+        await asyncio.sleep(self.rng.random() * self.lease_ttl_s / CAMPAIGN_JITTER_DIVISOR)
+        requested_at = monotonic_time()
         lease_id = await self.store.new_lease(self.lease_ttl_s)
-        term = max(self.known_term, int(stored_term.value) if stored_term else 0) + 1
+        term = max(self.highest_term, int(stored_term.value) if stored_term else 0) + 1
         conditions = {
             keys.LEADER: leader.mod_revision if leader else 0,
             keys.TERM: stored_term.mod_revision if stored_term else 0,
@@ -190,13 +192,13 @@
         if not isinstance(result, Committed):
             await self.store.end_lease(lease_id)
             return
-        self._lead(term, lease_id, result.revision, started)
+        self._begin_term(term, lease_id, result.revision, requested_at)
 
-    def _lead(self, term: int, lease_id: int, revision: int, started: float) -> None:
+    def _begin_term(self, term: int, lease_id: int, revision: int, requested_at: float) -> None:
         self._lease_id = lease_id
         self.leader_revision = revision
-        self.term = self.known_term = term
+        self.term = self.highest_term = term
         self.leading = True
-        self.lease_deadline = self._deadline(started)
+        self.lease_deadline = self._lease_deadline_after(requested_at)
         info("leadership_acquired", term=term)
-        self._notify()
+        self._notify_listeners()
--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -35,11 +35,11 @@
         now = monotonic_time()
         return PeerHeartbeat(
             node=self.node,
-            term=self.leadership.known_term,
+            term=self.leadership.highest_term,
             leading=self.leadership.leading,
             store_down=self.store.is_unavailable(now, self.renewal.store_down_after_s),
             replica_loaded=self.replica.loaded,
-            redirected_workers=self.redirects.recent_count(now),
+            redirected_workers=self.redirects.recent_worker_count(now),
             incarnation=self.leadership.incarnation,
             staleness_s=self.renewal.cancellations_staleness_s(now),
         )
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -33,10 +33,10 @@
 if TYPE_CHECKING:
     from passrock.admission.controller.control import AdmissionControl
 
-STATE_CONNECTIONS = 12
-FINALS_MEMORY_SHARE = 0.03  # of the memory, for the final states of jobs that are kept to answer queries
-FINAL_BYTES = 200  # a final state in memory
-CANCELLATION_RETENTION = 4.0  # times cancel_s: by then every task of a cancelled job has long ended
+STORE_CONNECTIONS = 12
+FINAL_STATUS_MEMORY_SHARE = 0.03  # of the memory, for the final states of jobs that are kept to answer queries
+FINAL_STATUS_BYTES = 200  # a final state in memory
+CANCELLATION_RETENTION_RATIO = 4.0  # times cancel_s: by then every task of a cancelled job has long ended
 PEER_HEARTBEATS_PER_INTERVAL = 3  # in a worker's heartbeat interval
 
 
@@ -55,18 +55,18 @@
         self.store = store
         self.cloud = cloud
         self.catalog = MachineCatalog()
-        self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
-        self.replica = Replica(store, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
-        retention_s = settings.cancel_s * CANCELLATION_RETENTION
+        self.max_sockets = int(settings.fd_limit * settings.operator.socket_share) - STORE_CONNECTIONS
+        self.replica = Replica(store, int(settings.memory_mb * FINAL_STATUS_MEMORY_SHARE * 1e6 / FINAL_STATUS_BYTES))
+        retention_s = settings.cancel_s * CANCELLATION_RETENTION_RATIO
         self.cancellations = CancellationLog(retention_s, on_learned=self._on_cancellation)
-        self.replica.subscribe(self._on_state_change)
+        self.replica.subscribe(self._on_key_change)
         self.leadership = Leadership(settings, store, self.replica, rng)
         self.leadership.subscribe(self._on_role_change)
         self.peer_table = PeerTable(links, settings.report_s)
         self.renewal = RenewalPolicy(settings, self.leadership, store, self.replica, self.peer_table)
         self.redirects = WorkerRedirects(settings, self.leadership, store, self.replica, self.peer_table)
         self.leader_term: LeaderTerm | None = None
-        self.admission = self._switch_on_admission(rng)
+        self.admission = self._build_admission_control(rng)
         self.peers = PeerExchange(
             self.peer_table,
             LocalHeartbeat(settings.node, self.leadership, store, self.replica, self.renewal, self.redirects),
@@ -83,21 +83,21 @@
             self.user_api,
         )
         self.handle = router.handle  # answers requests that come to the client address
-        self._share_rates(leading=False)
+        self._set_store_rates(leading=False)
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Run everything but the listening sockets, until cancelled."""
         settings = self.settings
         tasks = (
             self.replica.run,
             self.leadership.run,
             partial(self.peers.run, settings.report_s / PEER_HEARTBEATS_PER_INTERVAL),
-            partial(load_machine_types, settings, self.cloud, self.catalog, self.sockets),
+            partial(load_machine_types, settings, self.cloud, self.catalog, self.max_sockets),
             partial(probe_store, self.store, settings.leader_lease_s / 2),
         )
         await run_supervised(tasks, restart_delay_s=settings.leader_lease_s / 4)
 
-    def _switch_on_admission(self, rng: random.Random) -> AdmissionControl | None:
+    def _build_admission_control(self, rng: random.Random) -> AdmissionControl | None:
         """Fair admission, where the operators' settings have it; nothing of it is loaded otherwise."""
         if self.settings.admission is None:
             return None
@@ -109,7 +109,7 @@
         self.replica.prefixes += (keys.ALLOCATION,)
         return control
 
-    def _share_rates(self, *, leading: bool) -> None:
+    def _set_store_rates(self, *, leading: bool) -> None:
         """The leader needs most of the store's rates; the others share the rest."""
         share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
@@ -125,7 +125,7 @@
             self.leader_term = None
             if self.admission is not None:
                 self.admission.lead_no_longer()
-        self._share_rates(leading=self.leadership.leading)
+        self._set_store_rates(leading=self.leadership.leading)
         if self.leadership.leading:
             self.leader_term = LeaderTerm(
                 self.settings,
@@ -142,7 +142,7 @@
             if self.admission is not None:
                 self.admission.lead(self.leader_term)
 
-    def _on_state_change(self, key: str, entry: Entry | None) -> None:
+    def _on_key_change(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.CANCELLATION) and entry is not None:
             self.cancellations.learn(key[len(keys.CANCELLATION) :], monotonic_time())
 
@@ -153,4 +153,4 @@
         when the store refuses it from that moment on.
         """
         if self.leader_term is not None:
-            self.leader_term.cancelled(job_id, monotonic_time())
+            self.leader_term.on_cancellation(job_id, monotonic_time())
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -7,7 +7,7 @@
 import random
 
 from passrock import __version__
-from passrock.controller.node import STATE_CONNECTIONS, Node
+from passrock.controller.node import STORE_CONNECTIONS, Node
 from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import HttpClient
@@ -21,14 +21,14 @@
 CLOUD_CONNECTIONS = 4
 CLOUD_RATE_SHARE = 0.8  # the part of the cloud's rate that this controller uses
 IDLE_TIMEOUT_S = 60.0  # of a client's connection
-HEAD_TIMEOUT = 4.0  # heartbeat intervals in which a whole request has to arrive
+REQUEST_TIMEOUT_HEARTBEATS = 4.0  # heartbeat intervals in which a whole request has to arrive
 GC_THRESHOLDS = (20_000, 20, 50)  # of the three generations: collections are rarer than by default
 
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
     """A node with real clients."""
     store = KeyValueStoreClient(
-        HttpClient(settings.state, STATE_CONNECTIONS),
+        HttpClient(settings.state, STORE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
         TokenBucket(settings.state_rps, settings.state_rps),
         TokenBucket(settings.state_write_rps, settings.state_write_rps),
@@ -45,18 +45,18 @@
     settings = node.settings
     server = HttpServer(
         node.handle,
-        node.sockets,
+        node.max_sockets,
         idle_timeout_s=IDLE_TIMEOUT_S,
-        head_timeout_s=settings.report_s * HEAD_TIMEOUT,
+        head_timeout_s=settings.report_s * REQUEST_TIMEOUT_HEARTBEATS,
     )
     listening = await server.start(settings.client_listen.host, settings.client_listen.port)
     peer_listening = await node.peers.listen(settings.peer_listen)
     for warning in resource_warnings(settings):
         info("settings_warning", warning=warning)
     info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
-    _tune_garbage_collection()
+    _configure_garbage_collection()
     async with listening, peer_listening:
-        await node.work()
+        await node.run()
 
 
 def serve(settings: Settings) -> None:
@@ -69,7 +69,7 @@
     asyncio.run(main())
 
 
-def _tune_garbage_collection() -> None:
+def _configure_garbage_collection() -> None:
     """Leave what the start has made out of all later collections."""
     gc.collect()
     gc.freeze()
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -12,8 +12,8 @@
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
-LAUNCH_KNOWLEDGE_LEASES = 2.0  # leader leases: a watch over a quiet store answers about so often
-STORE_DOWN_SHARE = 0.25  # of the leader lease without service, before the key-value store counts as down
+LAUNCH_HORIZON_LEASES = 2.0  # leader leases: a watch over a quiet store answers about so often
+STORE_DOWN_LEASE_RATIO = 0.25  # of the leader lease without service, before the key-value store counts as down
 
 
 class RenewalPolicy:
@@ -37,17 +37,17 @@
         self.replica = replica
         self.peers = peers
         self.renewal_horizon_s = renewal_horizon(settings.cancel_s, settings.lease_s, settings.report_s)
-        self.launch_horizon_s = min(leadership.lease_ttl_s * LAUNCH_KNOWLEDGE_LEASES, self.renewal_horizon_s)
-        self.store_down_after_s = leadership.lease_ttl_s * STORE_DOWN_SHARE
+        self.launch_horizon_s = min(leadership.lease_ttl_s * LAUNCH_HORIZON_LEASES, self.renewal_horizon_s)
+        self.store_down_after_s = leadership.lease_ttl_s * STORE_DOWN_LEASE_RATIO
 
     # -- knowledge of cancellations ---------------------------------------------------------------
 
-    def knows_cancellations(self, within_s: float) -> bool:
-        """Whether every cancellation confirmed to a user more than ``within_s`` ago is known here."""
+    def has_all_cancellations(self, older_than_s: float) -> bool:
+        """Whether every cancellation confirmed to a user more than ``older_than_s`` ago is known here."""
         now = monotonic_time()
-        if now - self.replica.complete_as_of <= within_s:
+        if now - self.replica.complete_as_of <= older_than_s:
             return True  # the ordinary case: a read of the key-value store alone proves it
-        return now - self._cancellations_complete_until(now) <= within_s
+        return now - self._cancellations_complete_until(now) <= older_than_s
 
     def cancellations_staleness_s(self, now: float) -> float | None:
         """How old, at most, a cancellation is that was confirmed to a user and is not known to this controller.
@@ -64,7 +64,7 @@
 
     def may_launch(self) -> bool:
         """Whether tasks may be launched: by the leader, on knowledge not much older than its lease."""
-        return self.leadership.holds_lease() and self.knows_cancellations(self.launch_horizon_s)
+        return self.leadership.holds_lease() and self.has_all_cancellations(self.launch_horizon_s)
 
     def may_renew(self) -> bool:
         """Whether worker heartbeats may be answered: as leader, or as the last one during an outage.
@@ -77,14 +77,14 @@
         one's replica lacks, and what it renews would run on. Any that it doesn't know is so young that the lease
         granted now ends within the time allowed.
         """
-        if not self.knows_cancellations(self.renewal_horizon_s):
+        if not self.has_all_cancellations(self.renewal_horizon_s):
             return False
         return self.leadership.holds_lease() or self._supported_as_last_leader()
 
     def _supported_as_last_leader(self) -> bool:
         leadership = self.leadership
         term = leadership.term
-        if not leadership.leading or leadership.known_term > term:
+        if not leadership.leading or leadership.highest_term > term:
             return False
         now = monotonic_time()
         if not self.store.is_unavailable(now, 0.0):
@@ -112,9 +112,9 @@
         ``renewal_horizon_s`` old, so no time is left to spend, and the leases expire unless the store is back.
         """
         now = monotonic_time()
-        if not self.knows_cancellations(self.renewal_horizon_s):
+        if not self.has_all_cancellations(self.renewal_horizon_s):
             return False
-        if self.leadership.leading or token < self.leadership.known_term or token == 0:
+        if self.leadership.leading or token < self.leadership.highest_term or token == 0:
             return False
         if not self.store.is_unavailable(now, self.store_down_after_s):
             return False
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -17,8 +17,8 @@
 
 WATCH_TIMEOUT_MS = 4000  # how long the key-value store holds a watch open while nothing changes
 WATCH_GAP_REQUESTS = 3.0  # between two watches, as a number of requests at this node's rate
-RETRY_S = 0.3
-LOADED_PREFIXES = (
+RETRY_DELAY_S = 0.3
+REPLICATED_PREFIXES = (
     keys.JOB,
     keys.TASK_PAGE,
     keys.CANCELLATION,
@@ -39,18 +39,18 @@
     Attributes:
         prefixes: the keys that are copied; subsystems add theirs before the replica is loaded.
         entries: the keys as of ``revision``.
-        finals: final states by job id, the most recently learned at the end.
+        final_statuses: final states by job id, the most recently learned at the end.
         revision: the store's revision up to which changes have been applied.
         loaded: whether the replica is complete as of ``revision``.
         complete_as_of: the monotonic time at which the last read began that proved the replica complete as of then.
     """
 
-    def __init__(self, store: KeyValueStoreClient, finals_kept: int) -> None:
-        self.prefixes: tuple[str, ...] = LOADED_PREFIXES
+    def __init__(self, store: KeyValueStoreClient, max_final_statuses: int) -> None:
+        self.prefixes: tuple[str, ...] = REPLICATED_PREFIXES
         self.store = store
-        self.finals_kept = finals_kept
+        self.max_final_statuses = max_final_statuses
         self.entries: dict[str, Entry] = {}
-        self.finals: OrderedDict[str, str] = OrderedDict()
+        self.final_statuses: OrderedDict[str, str] = OrderedDict()
         self.revision = -1
         self.loaded = False
         self.complete_as_of = NEVER
@@ -73,19 +73,19 @@
             try:
                 if not self.loaded:
                     await self._load()
-                started = monotonic_time()
+                read_started_at = monotonic_time()
                 changes, revision = await self.store.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
                 self.apply(changes, revision)
-                self.mark_complete(started)
+                self.mark_complete(read_started_at)
                 # each new watch is a request: at a high rate of changes it waits, and brings several at a time
                 await asyncio.sleep(WATCH_GAP_REQUESTS / self.store.requests.rate)
             except CompactedError:
                 self.loaded = False
             except StoreError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _load(self) -> None:
-        started = monotonic_time()
+        read_started_at = monotonic_time()
         fresh, revision = await self._read_all()
         with self._lock:
             deleted = [key for key in self.entries if key not in fresh]
@@ -94,11 +94,11 @@
             self.loaded = True
         info("replica_loaded", keys=len(fresh), revision=self.revision)
         for key in deleted:
-            self._notify(key, None)
+            self._notify_listeners(key, None)
         for key, entry in fresh.items():
-            self._notify(key, entry)
-        self.mark_complete(started)
-        self._wake()
+            self._notify_listeners(key, entry)
+        self.mark_complete(read_started_at)
+        self._notify_waiters()
 
     async def _read_all(self) -> tuple[dict[str, Entry], int]:
         """All keys, page by page, and the lowest revision of a page: the watch begins there and misses nothing."""
@@ -115,9 +115,9 @@
                 after = rows[-1].key
         return entries, lowest or 0
 
-    def mark_complete(self, started: float) -> None:
+    def mark_complete(self, read_started_at: float) -> None:
         """A read that began then has shown that the replica includes all that was committed before it."""
-        self.complete_as_of = max(self.complete_as_of, started)
+        self.complete_as_of = max(self.complete_as_of, read_started_at)
 
     def apply(self, changes: list[Change], revision: int) -> None:
         """Apply changes in the order of a watch that has reached ``revision``, and notify the listeners of each."""
@@ -125,7 +125,7 @@
             entry = Entry(change.key, change.value, change.mod_revision) if change.present else None
             if change.key.startswith(keys.FINAL):
                 if entry is not None:
-                    self.note_final(change.key[len(keys.FINAL) :], entry.value["s"])
+                    self.cache_final_status(change.key[len(keys.FINAL) :], entry.value["s"])
                 continue
             with self._lock:
                 known = self.entries.get(change.key)
@@ -135,27 +135,27 @@
                     self.entries.pop(change.key, None)
                 else:
                     self.entries[change.key] = entry
-            self._notify(change.key, entry)
+            self._notify_listeners(change.key, entry)
         if revision > self.revision:
             self.revision = revision
-            self._wake()
+            self._notify_waiters()
 
-    def _notify(self, key: str, entry: Entry | None) -> None:
+    def _notify_listeners(self, key: str, entry: Entry | None) -> None:
         for listener in list(self._listeners):
             listener(key, entry)
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._advanced.set()
         self._advanced = asyncio.Event()
 
-    def note_final(self, job_id: str, status: str) -> None:
+    def cache_final_status(self, job_id: str, status: str) -> None:
         """Cache how a job ended; this never changes again."""
         with self._lock:
-            self.finals[job_id] = status
-            if len(self.finals) > self.finals_kept:
-                self.finals.popitem(last=False)
+            self.final_statuses[job_id] = status
+            if len(self.final_statuses) > self.max_final_statuses:
+                self.final_statuses.popitem(last=False)
 
-    async def reach(self, revision: int, timeout: float) -> bool:
+    async def wait_for_revision(self, revision: int, timeout: float) -> bool:
         """Wait until the replica includes ``revision``; returns whether it does within ``timeout`` seconds."""
         try:
             async with asyncio.timeout(timeout):
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -43,11 +43,11 @@
     def on_change(self, key: str, entry: Entry | None) -> None:
         """The replica shows a changed key; ``entry`` is None when it was deleted."""
         if key.startswith(keys.JOB):
-            self._job_changed(key[len(keys.JOB) :], entry)
+            self._on_job_change(key[len(keys.JOB) :], entry)
         elif key.startswith(keys.CANCELLATION) and entry is not None:
-            self.cancelled(key[len(keys.CANCELLATION) :], confirmed_at(entry))
+            self.on_cancellation(key[len(keys.CANCELLATION) :], confirmed_at(entry))
 
-    def _job_changed(self, job_id: str, entry: Entry | None) -> None:
+    def _on_job_change(self, job_id: str, entry: Entry | None) -> None:
         if entry is None:
             self.commit_queue.finalized.discard(job_id)
         elif job_id not in self.job_table.jobs and job_id not in self.commit_queue.finalized:
@@ -70,9 +70,9 @@
         self.evaluations.request()
         learned_at = self.cancellations.learned_at(job_id)
         if learned_at is not None:
-            self.cancelled(job_id, learned_at)
+            self.on_cancellation(job_id, learned_at)
 
-    def cancelled(self, job_id: str, at: float) -> None:
+    def on_cancellation(self, job_id: str, at: float) -> None:
         """A cancellation was committed at ``at`` (monotonic) or later, as the replica or a peer says."""
         job = self.job_table.jobs.get(job_id)
         if job is None:
@@ -80,14 +80,14 @@
         if not job.cancelled:
             info("job_cancelled", job=job_id)
         self.job_table.cancel(job, at)
-        self.commit_queue.wake.set()
+        self.commit_queue.commit_requested.set()
         self.evaluations.request()
 
-    def machine_lost(self, name: str) -> None:
+    def on_machine_lost(self, name: str) -> None:
         """The cloud has confirmed that a machine is deleted."""
         lost = self.job_table.machine_lost(name, monotonic_time())
         self.assignments.pop(name, None)
         self.rounds.bring_forward()
         info("machine_lost", machine=name, tasks=lost)
-        self.commit_queue.wake.set()
+        self.commit_queue.commit_requested.set()
         self.evaluations.request()
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -22,13 +22,13 @@
         self.leadership = leadership
         self.peers = peers
         self.nodes = nodes
-        self.confirmed_at: float | None = None
+        self.effective_at: float | None = None
 
-    def check(self) -> None:
+    def update(self) -> None:
         """Set the fence once a majority has acknowledged the term."""
-        if not self.leadership.leading or self.confirmed_at is not None:
+        if not self.leadership.leading or self.effective_at is not None:
             return
         term = self.leadership.term
         votes = 1 + sum(1 for heartbeat in self.peers.heartbeats() if heartbeat.term >= term)
         if is_majority(votes, self.nodes):
-            self.confirmed_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_FACTOR
+            self.effective_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_FACTOR
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -8,7 +8,7 @@
 from passrock.controller import keys
 from passrock.controller.admission_controller import AdmissionController, Refusal
 from passrock.controller.job_lookup import QUEUED, JobLookup, UnavailableError
-from passrock.controller.read_fence import READ_WAIT_S
+from passrock.controller.read_fence import MAX_READ_WAIT_S
 from passrock.controller.replica import Replica
 from passrock.controller.request_limits import limited, measured, refuse, request_limiter
 from passrock.controller.submissions import AdmissionTokenExpiredError, Submitter
@@ -61,7 +61,7 @@
         self.admission_controller = admission_controller
         slack_s = settings.report_s / LIMITER_SLACK_DIVISOR
         # the wait for a shared read is no sign of a queue
-        self.read_limiter = request_limiter(settings, slack_s + READ_WAIT_S)
+        self.read_limiter = request_limiter(settings, slack_s + MAX_READ_WAIT_S)
         # submissions and cancellations, which no number of reads may hold up
         self.write_limiter = request_limiter(settings, slack_s)
         self.lookup = JobLookup(settings, store, replica, cancellations)
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -35,7 +35,7 @@
             unresponsive_after(settings.report_s, settings.lease_s, settings.operator.silent_ratio),
         )
 
-    def target(self, machine: str, token: int) -> str | None:
+    def redirect_target(self, machine: str, token: int) -> str | None:
         """The node to which a worker with this fencing token should go; None when nobody can be named.
 
         One that knows the present term has lost its leader, or it would not have come. It goes to another
@@ -43,38 +43,40 @@
         a large part of the worker's lease.
         """
         now = monotonic_time()
-        leader = self.leader(now)
+        leader = self.current_leader(now)
         lost = self.lost_workers
-        known_term = self.leadership.known_term
+        highest_term = self.leadership.highest_term
         if token and not self.leadership.leading:
-            lost.record_visit(machine, token, leader, known_term, now)
-        same_leader_as_lost = leader is None or (leader == lost.leader and known_term <= lost.leader_term)
+            lost.record_visit(machine, token, leader, highest_term, now)
+        same_leader_as_lost = leader is None or (leader == lost.leader and highest_term <= lost.leader_term)
         if same_leader_as_lost and lost.should_avoid_leader(machine, now):
             return lost.next_follower(self._followers(now), self.node)
         return leader if leader != self.node else None
 
-    def leader(self, now: float) -> str | None:
+    def current_leader(self, now: float) -> str | None:
         """The node that leads, as far as is known here lately.
 
         A peer that says so itself comes first. The replica counts only while the key-value store
         answers: a node cut off from it would otherwise send workers to a leader that was replaced long ago.
         """
         lease_ttl_s = self.leadership.lease_ttl_s
-        known_term = self.leadership.known_term
-        leading = [one for one in self.peers.heartbeats(now - lease_ttl_s) if one.leading and one.term >= known_term]
+        highest_term = self.leadership.highest_term
+        leading = [
+            one for one in self.peers.heartbeats(now - lease_ttl_s) if one.leading and one.term >= highest_term
+        ]
         if leading:
             return max(leading, key=lambda heartbeat: heartbeat.term).node
         entry = self.replica.get(keys.LEADER)
         if entry is None or not isinstance(entry.value, dict) or self.store.is_unavailable(now, lease_ttl_s):
             return None
         node, term = entry.value.get("node"), entry.value.get("term")
-        if not isinstance(node, str) or not isinstance(term, int) or term < known_term:
+        if not isinstance(node, str) or not isinstance(term, int) or term < highest_term:
             return None  # the replica lags: that leader has been replaced
         return node
 
-    def recent_count(self, now: float) -> int:
+    def recent_worker_count(self, now: float) -> int:
         """How many workers that know the present term came here lately."""
-        return self.lost_workers.count(self.leadership.known_term, now)
+        return self.lost_workers.count(self.leadership.highest_term, now)
 
     def _followers(self, now: float) -> list[str]:
         """The other controllers that answered lately and don't lead."""
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -121,7 +121,7 @@
         cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, state, cloud, links, rng)
-        self.work = self.context.run(asyncio.ensure_future, self.node.work())
+        self.work = self.context.run(asyncio.ensure_future, self.node.run())
 
     async def answer(self, request):
         """Handle a request as soon as the process doesn't stand still: until then it waits in a socket."""
--- a/tests/test_checker_detects_violations.py
+++ b/tests/test_checker_detects_violations.py
@@ -21,7 +21,7 @@
 
 
 def believes_that_it_knows(monkeypatch):
-    monkeypatch.setattr(RenewalPolicy, "knows_cancellations", lambda self, within_s: True)
+    monkeypatch.setattr(RenewalPolicy, "has_all_cancellations", lambda self, older_than_s: True)
 
 
 def applies_no_peer_cancellations(monkeypatch):
@@ -35,7 +35,7 @@
 
 
 def waits_out_a_correlated_outage_with_cancelled_tasks(monkeypatch):
-    monkeypatch.setattr(FailureDetector, "delete_with_cancelled_tasks", lambda self, now: None)
+    monkeypatch.setattr(FailureDetector, "delete_machines_with_cancelled_tasks", lambda self, now: None)
 
 
 def accepts_every_submission(monkeypatch):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -40,7 +40,7 @@
                     steps.setdefault("loaded", cluster.now() - began)
         if all(worker.sent_ok > began for worker in workers):
             steps.setdefault("renewed", cluster.now() - began)
-        terms = [sim.node.leadership.known_term for sim in cluster.nodes.values()]
+        terms = [sim.node.leadership.highest_term for sim in cluster.nodes.values()]
     ended = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
     return cluster, (old, cluster.leaders()), steps, ended, max(terms)
 
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -524,7 +524,7 @@
     """A job's own record and that of its further tasks."""
     harness, _ = started_job()
     queue = commit_queue(state_client(http), harness.job_table)
-    assert await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build_transaction(12))
 
 
 async def finish_jobs(http):
@@ -540,8 +540,8 @@
     )
     harness.job_table.cancel(other, 50.0)
     queue = commit_queue(state_client(http), harness.job_table)
-    assert await queue.commit(queue.build(12))
-    assert await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build_transaction(12))
+    assert await queue.commit(queue.build_transaction(12))
 
 
 async def withdraw_a_job(http):
@@ -785,9 +785,9 @@
             }
         }
         work = asyncio.ensure_future(replica.run())
-        assert await replica.reach(4001, 5.0)
+        assert await replica.wait_for_revision(4001, 5.0)
         work.cancel()
-        return answer, dict(replica.finals)
+        return answer, dict(replica.final_statuses)
 
     answer, finals = virtual_time.run(main())
     assert answer.status == 200
@@ -803,7 +803,7 @@
         replica = make_replica(client, entries)
         redirects = make_redirects(client, replica)
         replica.apply([store.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
-        return redirects.leader(monotonic_time()), redirects.leadership.known_term
+        return redirects.current_leader(monotonic_time()), redirects.leadership.highest_term
 
     assert virtual_time.run(main()) == ("n1", 41)
 
@@ -903,7 +903,7 @@
         finals = []
         queue = commit_queue(client, harness.job_table)
         queue.on_finalized = lambda *final: finals.append(list(final))
-        assert await queue.commit(queue.build(12))
+        assert await queue.commit(queue.build_transaction(12))
         return finals, job.cancelled, job.cancelled_at
 
     finals, cancelled, at = virtual_time.run(main())
@@ -977,7 +977,7 @@
         for number in range(3):
             node.cancellations.learn(f"wk-{5000 + number}", 8.0)
         for number in range(2):
-            node.redirects.target(f"host-{number}", 41)
+            node.redirects.redirect_target(f"host-{number}", 41)
         node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
@@ -1059,7 +1059,7 @@
         client = state_client(RecordingHttp())
         client.last_success_at = 0.0
         replica = make_replica(client, [store.Entry("p/lead", value, 7)])
-        return make_redirects(client, replica).leader(monotonic_time())
+        return make_redirects(client, replica).current_leader(monotonic_time())
 
     assert virtual_time.run(main()) is None
 
@@ -1071,7 +1071,7 @@
         replica = make_replica(client)
         leadership = Leadership(make_settings(), client, replica, random.Random(5))
         replica.apply([store.Change("p/term", True, value, 7)], 0)
-        return leadership.known_term
+        return leadership.highest_term
 
     assert virtual_time.run(main()) == 0
 
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -321,11 +321,11 @@
 
 def test_caches_for_answers_are_bounded():
     """Final states by a share of the memory, deleted machines by a number: a long-lived process doesn't grow them."""
-    replica = Replica(None, finals_kept=50)
+    replica = Replica(None, max_final_statuses=50)
     for number in range(500):
-        replica.note_final(f"wk-{number}", "done")
-    assert len(replica.finals) == 50
-    assert "wk-499" in replica.finals
+        replica.cache_final_status(f"wk-{number}", "done")
+    assert len(replica.final_statuses) == 50
+    assert "wk-499" in replica.final_statuses
     inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), 1)
     for number in range(DELETED_NAMES_KEPT + 500):
         inventory.record_deleted(f"host-{number:06d}", float(number))
