--- a/src/passrock/controller/__init__.py
+++ b/src/passrock/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller: joins the core to the outside."""
+"""The controller: connects the core to the store, the cloud, peers, workers and users."""
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -21,19 +21,19 @@
 
 
 async def run_supervised(tasks: Iterable[BackgroundTask], restart_delay_s: float) -> None:
-    """Run tasks side by side until they return; one that fails is started again."""
+    """Run tasks concurrently until all return; a task that fails is restarted after a delay."""
     async with asyncio.TaskGroup() as group:
         for task in tasks:
             group.create_task(_restart_on_failure(task, restart_delay_s))
 
 
 async def _restart_on_failure(task: BackgroundTask, restart_delay_s: float) -> None:
-    """Log an unforeseen error and start again: a malformed answer from outside must never end the process."""
+    """Log an unexpected error and restart the task: a malformed external answer must not end the process."""
     while True:
         try:
             await task()
             return
-        except Exception as exc:  # noqa: BLE001 - no answer from outside may end the process
+        except Exception as exc:  # noqa: BLE001 - no external answer may end the process
             error("background_task_failed", error=repr(exc))
             await asyncio.sleep(restart_delay_s)
 
@@ -41,7 +41,7 @@
 async def load_machine_types(
     settings: Settings, cloud: CloudClient, catalog: MachineCatalog, max_sockets: int
 ) -> None:
-    """Ask the cloud for its machine types until it answers: nothing can be decided without them."""
+    """Request the cloud's machine types until it answers; scheduling and scaling depend on them."""
     while not catalog.types:
         try:
             catalog.types = await cloud.machine_types()
@@ -52,7 +52,7 @@
 
 
 def _check_socket_limit(settings: Settings, catalog: MachineCatalog, max_sockets: int) -> None:
-    """Log once when the max_sockets are too few for the machines that the guarantees need."""
+    """Log an error if the socket limit is too low for the number of machines that the guarantees need."""
     largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
     guaranteed = sum(team.gpus for team in settings.teams.values())
     if largest > 0 and guaranteed / largest > max_sockets:
@@ -61,7 +61,7 @@
 
 
 async def probe_store(store: KeyValueStoreClient, interval_s: float) -> None:
-    """Probe the key-value store while no other request shows whether it answers."""
+    """Probe the key-value store after each interval in which no request was served."""
     while True:
         await asyncio.sleep(interval_s)
         if monotonic_time() - store.last_success_at > interval_s:
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -1,8 +1,8 @@
 """The leader's queue of changed job records, committed one transaction at a time.
 
-Concurrency is optimistic: a transaction is a compare-and-swap on the versions that this node knows, and on the
-leader's key, so that a deposed leader writes nothing. After a conflict or an unknown outcome the versions are read
-again, and what is uncommitted is written anew.
+Concurrency control is optimistic: a transaction is a compare-and-swap on the last known revisions of its records and
+of the leader key, so that a deposed leader writes nothing. After a conflict or an unknown outcome the revisions are
+read again, and the uncommitted records are written again.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from passrock.logs import debug, info
 
 RETRY_DELAY_S = 0.2
-RECORD_OVERHEAD_BYTES = 700  # a record beside its attempts
-MAX_TRANSACTION_BYTES = 40_000  # of the 64 KiB that a transaction may have; conditions and estimates need the rest
-MIN_SLEEP_S = 0.001  # a rounding error left over must not make a busy loop
-SUBMISSION_WRITE_SHARE = 0.2  # of a second's writes, left for submissions and cancellations on this node
-MIN_SUBMISSION_WRITES = 2.0  # left for them at the least
+RECORD_OVERHEAD_BYTES = 700  # estimated size of a record without its attempts
+MAX_TRANSACTION_BYTES = 40_000  # the store accepts 64 KiB; the rest is for conditions and errors of the estimate
+MIN_SLEEP_S = 0.001  # prevents a busy loop on rounding errors
+SUBMISSION_WRITE_SHARE = 0.2  # of a full burst, reserved for submissions and cancellations on this node
+MIN_SUBMISSION_WRITES = 2.0  # lower limit of that reserve
 
 
 class CommitQueue:
-    """Writes the changed records, under the condition that this node still leads.
+    """Writes the changed records, on condition that this node still leads.
 
     Attributes:
-        orphaned_keys: records of finished jobs that have to be deleted.
-        finalized: ids of jobs that this term has ended, as long as the replica may still show them unfinished.
-        wake: set when there may be something to commit.
+        orphaned_keys: keys of records of finished jobs, which are to be deleted.
+        finalized: ids of jobs finalized in this term whose unfinished records the replica may still contain.
+        commit_requested: set when there may be something to commit.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.on_leadership_lost = on_leadership_lost
 
     def estimated_delay_s(self) -> float:
-        """Seconds that the writes which wait now take at this node's rate."""
+        """Return the seconds that the pending writes need at this node's rate."""
         writes = (
             len(self.job_table.uncommitted)
             + WRITES_PER_FINALIZATION * len(self.job_table.finalizing)
@@ -69,7 +69,7 @@
         return writes / self.store.writes.rate
 
     async def run(self) -> None:
-        """Commit for ever."""
+        """Commit pending changes until cancelled."""
         while True:
             await self.commit_requested.wait()
             self.commit_requested.clear()
@@ -81,28 +81,29 @@
                     await asyncio.sleep(RETRY_DELAY_S)
 
     async def _wait_for_write_budget(self) -> int:
-        """How many writes the next transaction may have, so that submissions find a part of the rate left.
+        """Wait until writes are available beyond the reserve for submissions, and return how many.
 
-        A transaction of full size spent the rate for a second ahead, and what users sent meanwhile waited as
-        long. After a second without enough left, it takes its turn behind them.
+        A transaction of full size would spend a whole second's write rate in advance, and delay submissions and
+        cancellations by as much. If too few writes are available for the time in which a full burst accumulates,
+        the full size is returned, and the transaction queues behind the requests that are already waiting.
         """
         budget = self.store.writes
-        least = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
+        min_writes = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
         reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_WRITE_SHARE), budget.burst / 2)
-        turn = monotonic_time() + budget.burst / budget.rate
+        deadline = monotonic_time() + budget.burst / budget.rate
         while True:
-            left = budget.available(monotonic_time()) - reserve
-            if left >= least:
-                return min(self.txn_ops, int(left))
+            available = budget.available(monotonic_time()) - reserve
+            if available >= min_writes:
+                return min(self.txn_ops, int(available))
             now = monotonic_time()
-            if now >= turn:
+            if now >= deadline:
                 return self.txn_ops
-            await asyncio.sleep(max(MIN_SLEEP_S, min((least - left) / budget.rate, turn - now)))
+            await asyncio.sleep(max(MIN_SLEEP_S, min((min_writes - available) / budget.rate, deadline - now)))
 
     def build_transaction(self, limit: int) -> RecordTransaction:
-        """The next transaction of up to ``limit`` writes, inside the limit on its size.
+        """Return the next transaction, with up to ``limit`` writes and within the size limit.
 
-        Jobs that have ended go first; orphaned records are deleted when nothing more urgent is left.
+        Finished jobs come first. Orphaned records are deleted only in transactions with room that finalize no job.
         """
         transaction = RecordTransaction({keys.LEADER: self.leader_revision})
         self._add_finalizations(transaction, limit)
@@ -130,7 +131,7 @@
             bytes_left -= RECORD_OVERHEAD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
 
     async def commit(self, transaction: RecordTransaction) -> bool:
-        """Carry out one transaction; False when it has to be tried again later."""
+        """Commit one transaction; returns whether the queue may continue without a retry delay."""
         try:
             result = await self.store.commit(transaction.conditions, transaction.writes)
         except UnknownOutcomeError:
@@ -154,7 +155,7 @@
             page = write.page
             page.mod_revision = revision
             page.committed_version = max(page.committed_version, write.version)
-            if page.version == write.version:  # it has not changed meanwhile
+            if page.version == write.version:  # unchanged since the transaction was built
                 self.job_table.uncommitted.pop((write.job.spec.id, write.number), None)
         for finalization in transaction.finalizations:
             self._finalize_job(finalization.job, finalization.status)
@@ -173,11 +174,11 @@
     async def _refresh_revisions(self, transaction: RecordTransaction) -> bool:
         """Read the revisions again after a conflict or an unknown outcome.
 
-        Only our own writes can have come between. What was not confirmed stays uncommitted and is written again
-        over whichever version is there now.
+        Apart from users' cancellations, only this leader's own writes can have changed these records. Changes that
+        are not confirmed stay uncommitted and overwrite whichever revision is stored now.
 
         Returns:
-            False when the store couldn't be read.
+            Whether the store could be read.
         """
         try:
             for write in transaction.page_writes:
@@ -189,7 +190,7 @@
         return True
 
     async def _refresh_finalization(self, job: Job) -> None:
-        """A job may have been finalized by the transaction of unknown outcome, or cancelled before it."""
+        """Check whether the transaction did finalize the job, or whether the job was cancelled before it."""
         final, _ = await self.store.get(keys.final(job.spec.id))
         if final is not None:
             self._finalize_job(job, decode_record(final.value, FinalRecord).status)
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -19,34 +19,35 @@
 from passrock.logs import info
 from passrock.settings import Settings
 
-# More than a sixth of the cluster at other controllers: this one's own connections have failed.
+# If more than a sixth of the workers have contacted other controllers, this leader's own connections have failed.
 CUT_OFF_WORKERS_DIVISOR = 6
-# An outage of more than an eighth of the cluster, and of more than four machines, is taken to have one cause.
+# An outage of more than an eighth of the cluster, and of more than four machines, is treated as having one cause.
 CORRELATED_OUTAGE_DIVISOR = 8
 CORRELATED_OUTAGE_MIN_MACHINES = 4
-# Added to twice the majority, so that two failures in a small cluster are no majority.
+# Added to the cluster size, so that two failed machines in a small cluster are not a majority.
 MAJORITY_MARGIN_MACHINES = 2
-# Part of the lease for which machines with replicas are waited for in such an outage: by then it has all but ended.
+# In a correlated outage, machines with production tasks are deleted after this part of the lease, near its end.
 PRODUCTION_OUTAGE_LEASE_RATIO = 0.9
-# Part of cancel_s after which an unresponsive machine with tasks of a cancelled job is deleted.
+# An unresponsive machine with tasks of a cancelled job is deleted after this part of cancel_s.
 CANCELLED_TASK_TIMEOUT_RATIO = 0.5
-# Heartbeat intervals without an answer of a peer after which workers may be waiting for that peer.
+# After this many heartbeat intervals without a peer's answer, workers may be waiting for that peer too.
 PEER_UNRESPONSIVE_HEARTBEATS = 0.5
-# Until the cloud's list shows a machine that died as failed.
+# Delay until the cloud's list shows a machine that died as failed.
 FAILURE_LISTING_DELAY_S = 30.0
-# Jobs whose tasks failed on one machine from which on the machine is at fault.
+# If tasks of this many jobs failed on one machine, the machine counts as faulty.
 CORDON_MIN_FAILED_JOBS = 2
 
 
 class OutageAssessment(NamedTuple):
-    """The unresponsive machines, and whether they have one cause.
+    """The unresponsive machines, and whether they are likely to have one cause.
 
     Attributes:
         unresponsive: machines that have missed heartbeats for too long.
-        missing: how many are overdue, or were deleted as unresponsive within the last lease. Machines send their
-            heartbeats at different moments, so that an outage shows only when these are counted too.
-        threshold: the most of them that are taken for independent failures.
-        monitored: how many machines were looked at.
+        missing: the number of machines whose heartbeat is overdue, or that were deleted as unresponsive within the
+            last lease. Machines send their heartbeats at different times, so counting unresponsive machines alone
+            would detect an outage too late.
+        threshold: up to this many missing machines are treated as independent failures.
+        monitored: the number of machines that were assessed.
     """
 
     unresponsive: list[Machine]
@@ -56,37 +57,37 @@
 
     @property
     def is_correlated(self) -> bool:
-        """Whether so many are missing that they have one cause, which may pass or lie with this leader."""
+        """Whether so many machines are missing that they have one cause, perhaps temporary or this leader's own."""
         return self.missing > self.threshold
 
     @property
     def is_emerging(self) -> bool:
-        """Whether the missing ones may be the first of a correlated outage."""
+        """Whether the missing machines may be the first of a correlated outage."""
         return self.missing > self.threshold / 2
 
     @property
     def is_majority(self) -> bool:
-        """Whether most machines are unresponsive: then none is deleted."""
+        """Whether most machines are unresponsive, in which case none is deleted."""
         return _is_majority_of_cluster(len(self.unresponsive), self.monitored)
 
 
 def _is_majority_of_cluster(count: int, monitored: int) -> bool:
-    """More than half; a few more in a small cluster, where two machines may well fail at the same time."""
+    """Whether ``count`` is a majority, with a margin for small clusters, where two machines can fail together."""
     return count * 2 > monitored + MAJORITY_MARGIN_MACHINES
 
 
 class FailureDetector:
-    """Decides from their heartbeats which machines have failed, and has them deleted.
+    """Detects failed machines by their heartbeats and requests their deletion.
 
     Args:
         settings: the node's settings.
-        job_table: tasks of failed machines are freed here as their leases expire.
+        job_table: the jobs; tasks are released in it when the lease of their machine expires.
         inventory: the machines.
-        leadership: given up when the failure is this node's own.
-        fence: says since when no older leader can have renewed a worker's lease.
-        peers: show whether this leader alone is cut off from the workers.
+        leadership: resigned when this leader is the one that is cut off.
+        fence: the time since which no older leader can have renewed a worker's lease.
+        peers: their heartbeats show whether only this leader is cut off from the workers.
         provisioner: deletes failed machines.
-        on_machine_lost: called with the name of a machine that holds attempts although it was deleted.
+        on_machine_lost: called with the name of a deleted machine that still has attempts in the job table.
     """
 
     def __init__(
@@ -109,10 +110,10 @@
         self.peers = peers
         self.provisioner = provisioner
         self.on_machine_lost = on_machine_lost
-        self._deleted_unresponsive_at: deque[float] = deque()  # over the last lease
+        self._deleted_unresponsive_at: deque[float] = deque()  # monotonic times, within the last lease
 
     def evaluate(self, now: float) -> None:
-        """Judge all machines by their heartbeats: free tasks of expired leases, have failed machines deleted."""
+        """Assess all machines: release tasks whose lease has expired, and request the deletion of failed machines."""
         self.delete_machines_with_cancelled_tasks(now)
         peer_unresponsive = self.peers.any_unresponsive(now, self.settings.report_s * PEER_UNRESPONSIVE_HEARTBEATS)
         self.health.discovery_s = WORKER_REQUEST_TIMEOUT_S if peer_unresponsive else 0.0
@@ -135,8 +136,8 @@
     def delete_machines_with_cancelled_tasks(self, now: float) -> None:
         """Delete unresponsive machines that may hold tasks of cancelled jobs, before ``cancel_s`` is over.
 
-        A hung machine holds its tasks beyond its lease, until it wakes or is deleted. Neither a correlated outage
-        nor one of the key-value store changes that.
+        A hung machine keeps its tasks beyond its lease, until it resumes or is deleted. So these machines are
+        deleted even during a correlated outage or an outage of the key-value store.
         """
         cancelled_before = now - self.settings.cancel_s * CANCELLED_TASK_TIMEOUT_RATIO
         for job in self.job_table.cancelled.values():
@@ -155,9 +156,9 @@
                 self.provisioner.deprovision(machine)
 
     def _monitored(self) -> list[Machine]:
-        """Machines that should send heartbeats.
+        """Return the machines that are expected to send heartbeats.
 
-        One that holds tasks of an earlier term counts too, though it may never send any in this one.
+        They include machines with tasks of an earlier term, which may never send a heartbeat in this term.
         """
         with_attempts = self.job_table.attempts_by_machine
         return [
@@ -183,7 +184,7 @@
         )
 
     def _is_cut_off(self, outage: OutageAssessment, now: float) -> bool:
-        """Whether this leader alone is cut off from the workers, which the store and the peers don't show."""
+        """Whether only this leader is cut off from the workers, even if it still reaches the store and its peers."""
         return (
             len(outage.unresponsive) > outage.threshold
             and self.peers.redirected_workers(now) * CUT_OFF_WORKERS_DIVISOR > outage.monitored
@@ -194,27 +195,28 @@
             machine.in_correlated_outage = machine.in_correlated_outage or outage.is_correlated
             if self._may_recover(machine, outage, now):
                 continue
-            silence_s = now - machine.last_heartbeat_at
-            if machine.name in self.job_table.attempts_by_machine or silence_s > self.settings.lease_s:
-                info("machine_heartbeat_missed", machine=machine.name, for_s=round(silence_s, 1))
+            since_heartbeat_s = now - machine.last_heartbeat_at
+            if machine.name in self.job_table.attempts_by_machine or since_heartbeat_s > self.settings.lease_s:
+                info("machine_heartbeat_missed", machine=machine.name, for_s=round(since_heartbeat_s, 1))
                 self._deleted_unresponsive_at.append(now)
                 self.provisioner.deprovision(machine)
 
     def _may_recover(self, machine: Machine, outage: OutageAssessment, now: float) -> bool:
-        """Whether an unresponsive machine is waited for, as part of an outage or as the first of one."""
+        """Whether to wait for an unresponsive machine, as a part of an outage or possibly as the first of one."""
         if machine.in_correlated_outage:
             outage_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
             if outage_s < self._outage_timeout_s(machine):
                 return True
-        silence_s = now - self.health.last_seen_at(machine)
-        return outage.is_emerging and silence_s < self.health.unresponsive_after_s + self.settings.report_s
+        since_heartbeat_s = now - self.health.last_seen_at(machine)
+        return outage.is_emerging and since_heartbeat_s < self.health.unresponsive_after_s + self.settings.report_s
 
     def _outage_timeout_s(self, machine: Machine) -> float:
-        """How long a machine in a correlated outage is waited for.
+        """Return how long to wait for a machine in a correlated outage.
 
-        The end of a lease frees the tasks, and machines that were cut off come back warm, sooner than new ones
-        would boot. By the end of the time the cloud's list shows which have died. Replicas must be up again
-        before: their machines are deleted as the leases end, which frees them without waiting for the last doubt.
+        Tasks are released when the lease expires, and machines that were cut off return with their images cached,
+        sooner than new ones would boot. By the end of the time-out the cloud's list shows which machines have died.
+        Production tasks must run again sooner: their machines are deleted just before the lease ends, since a
+        confirmed deletion releases the tasks without the lease's safety margins.
         """
         attempts = self.job_table.attempts_on(machine.name)
         if any(attempt.job.spec.priority is Priority.PRODUCTION for attempt in attempts):
@@ -224,7 +226,7 @@
     # -- other failures -----------------------------------------------------------------------------
 
     def _delete_unreachable_inbound(self, monitored: list[Machine], now: float) -> None:
-        """Delete machines that no answer reaches, unless they are so many that the cause is elsewhere."""
+        """Delete machines that answers do not reach, unless they are a majority: then the cause is elsewhere."""
         unreachable = [machine for machine in monitored if self.health.is_unreachable_inbound(machine, now)]
         if _is_majority_of_cluster(len(unreachable), len(monitored)):
             return
@@ -237,7 +239,7 @@
             self.provisioner.deprovision(machine)
 
     def _expire_lease(self, machine: Machine, now: float) -> None:
-        """Free the tasks of a machine whose lease nobody can have renewed."""
+        """Release the tasks of a machine whose lease has expired and cannot have been renewed by anyone."""
         if machine.name not in self.job_table.attempts_by_machine:
             return
         if not self.health.is_lease_expired(machine, now, self.fence.effective_at):
@@ -266,14 +268,14 @@
             self.provisioner.deprovision(machine)
 
     def _delete_boot_timed_out(self, now: float) -> None:
-        """Delete machines that should have sent a heartbeat long ago: they are charged for nothing."""
+        """Delete machines that are long overdue with their first heartbeat: they cost money and run nothing."""
         for machine in list(self.inventory.machines.values()):
             if self.health.boot_timed_out(machine, now):
                 info("machine_boot_timed_out", machine=machine.name, age=round(now - machine.requested_at))
                 self.provisioner.deprovision(machine)
 
     def _resolve_unlisted(self) -> None:
-        """Have machines of stored records deleted that neither the cloud's list nor a heartbeat has shown."""
+        """Delete machines of stored records that have appeared neither in the cloud's list nor by a heartbeat."""
         for name in list(self.job_table.attempts_by_machine):
             if name not in self.inventory.machines and name not in self.inventory.deleted:
                 self.provisioner.deprovision_by_name(name)
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -9,12 +9,12 @@
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
-STORE_DOWN_AFTER_S = 1.5  # without an answer of the store
-MAX_PEER_ANSWER_AGE_S = 3.0  # a peer's answer to an older question doesn't count
+STORE_DOWN_AFTER_S = 1.5  # time without an answer of the store
+MAX_PEER_ANSWER_AGE_S = 3.0  # answers to older requests are ignored
 
 
 class HealthCheck:
-    """Judges this controller by its replica, its view of the key-value store, and its peers' views."""
+    """Assesses this controller by its replica, its connection to the key-value store and its peers' reports."""
 
     def __init__(
         self,
@@ -31,11 +31,11 @@
         self.peers = peers
 
     def is_healthy(self) -> bool:
-        """Whether users should come here.
+        """Whether the load balancer should send users to this controller.
 
-        Not when only this controller is refused by the store, nor when it sees the store down and no majority
-        of controllers says the same: then it is this controller that is cut off. In an outage that all see, no
-        controller is better than another, and those marked unhealthy would be slow to come back.
+        False if the store refuses only this controller, or if this controller finds the store down and no majority
+        of controllers reports the same: then this controller is cut off. In an outage for all controllers none is
+        better than another, and controllers marked unhealthy would return to service late.
         """
         if not self.replica.loaded or not self.catalog.types:
             return False
--- a/src/passrock/controller/keys.py
+++ b/src/passrock/controller/keys.py
@@ -1,4 +1,4 @@
-"""The keys under which passrock keeps its state."""
+"""The keys of passrock's records in the key-value store."""
 
 ROOT = "p/"
 JOB = "p/j/"
@@ -12,45 +12,45 @@
 ALLOCATION = "p/a/"
 LEADER = "p/lead"
 TERM = "p/term"
-PROBE = "p/none"  # never written: reading it gives the store's revision and shows that the store answers
+PROBE = "p/none"  # never written: reading it returns the store's revision and shows that the store answers
 
 
 def job(job_id: str) -> str:
-    """An unfinished job with its first tasks."""
+    """Return the key of an unfinished job with its first page of tasks."""
     return JOB + job_id
 
 
 def task_page(job_id: str, number: int) -> str:
-    """Some of a job's tasks; the first ones are in the job's own record."""
+    """Return the key of a page of a job's tasks; page 0 is part of the job's own record."""
     return f"{TASK_PAGE}{job_id}/{number}" if number else JOB + job_id
 
 
 def reservation(team: str, page: int) -> str:
-    """The machines of a team's reservation; what one record can't hold is on further pages."""
+    """Return the key of a page of a team's reservation; its machines may exceed the size of one record."""
     return f"{RESERVATION_PAGE}{page}/{team}" if page else RESERVATION + team
 
 
 def reservation_team(key: str) -> str:
-    """Whose reservation a record is part of."""
+    """Return the team of a reservation's key."""
     return key[len(RESERVATION) :] if key.startswith(RESERVATION) else key[len(RESERVATION_PAGE) :].partition("/")[2]
 
 
 def cancellation(job_id: str) -> str:
-    """The cancellation of a job, committed before it is confirmed to the user."""
+    """Return the key of a job's cancellation, which is committed before it is confirmed to the user."""
     return CANCELLATION + job_id
 
 
 def final(job_id: str) -> str:
-    """How a job ended."""
+    """Return the key of a job's final record."""
     return FINAL + job_id
 
 
 def allocation(slot: int, page: int) -> str:
-    """One page of a slot's allocation; in the order of slots."""
+    """Return the key of a page of a slot's allocation; the keys sort by slot."""
     return f"{ALLOCATION}{slot:012d}/{page:03d}"
 
 
 def allocation_slot(key: str) -> tuple[int, int] | None:
-    """Slot and page of an allocation's key, or None when it isn't one."""
+    """Return the slot and page of an allocation's key, or None for a malformed one."""
     slot, _, page = key.removeprefix(ALLOCATION).partition("/")
     return (int(slot), int(page)) if slot.isdecimal() and page.isdecimal() else None
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -1,4 +1,4 @@
-"""One term of leadership: the parts that decide for the cluster, made when it begins and dropped when it ends."""
+"""One term of leadership: the components with which a leader runs the cluster, created anew for each term."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 from passrock.logs import error, info
 from passrock.settings import Settings
 
-REPLICA_TIMEOUT_S = 1.0
+REPLICA_TIMEOUT_S = 1.0  # of one wait for the replica; the wait is repeated until it succeeds
 MACHINE_TYPES_POLL_INTERVAL_S = 0.1
 
 
 class LeaderTerm:
-    """Everything that ends with the leadership; ``ready`` once the records of earlier terms are loaded."""
+    """The components and state of one term; ``ready`` is set once the records of earlier terms are loaded."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._build_evaluation(settings)
         self._build_event_handlers(settings)
 
-    # -- construction: tables, then what decides on them, then what acts --------------------------------
+    # -- construction, in the order of dependencies ------------------------------------------------------
 
     def _build_tables(self, settings: Settings) -> None:
         self.job_table = JobTable(tasks_per_page(settings.value_bytes))
@@ -78,7 +78,7 @@
             settings.report_s, settings.lease_s, settings.operator.silent_ratio, observing_since=monotonic_time()
         )
         self.inventory = MachineInventory(health, self.leadership.term)
-        self.assignments: dict[str, str] = {}  # machine -> team, as binding rounds leave them
+        self.assignments: dict[str, str] = {}  # machine -> team, updated by binding rounds
         self.evaluations = Evaluations()
 
     def _build_scheduler(self, settings: Settings) -> None:
@@ -165,30 +165,30 @@
             self.evaluations,
         )
 
-    # -- beginning and end ------------------------------------------------------------------------------
+    # -- lifecycle ---------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin the term's work."""
+        """Start the background tasks of the term."""
         self.tasks = [asyncio.create_task(self._resign_on_failure(self._run()))]
 
     def stop(self) -> None:
-        """End the term's work; nothing of the term acts any more."""
+        """Cancel the background tasks and subscriptions of the term."""
         for task in self.tasks:
             task.cancel()
         self.rounds.stop()
         self.replica.unsubscribe(self.state_events.on_change)
 
-    def on_cancellation(self, job_id: str, at: float) -> None:
-        """A cancellation is committed; one from before the records are loaded is applied by loading them."""
+    def on_cancellation(self, job_id: str, confirmed_at: float) -> None:
+        """Apply a committed cancellation; until ``ready`` this is left to the loading of the records."""
         if self.ready:
-            self.state_events.on_cancellation(job_id, at)
+            self.state_events.on_cancellation(job_id, confirmed_at)
 
     def _on_machine_lost(self, name: str) -> None:
-        # looked up when called: the parts that call this are made before the event handlers
+        # looks up the attribute when called: the callers are created before state_events
         self.state_events.on_machine_lost(name)
 
     async def _resign_on_failure(self, work: Awaitable[None]) -> None:
-        """Step down when a part of the term fails: a leader whose work has ended must not go on holding the key."""
+        """Step down if ``work`` fails: a leader whose background task has ended must not keep the leader key."""
         try:
             await work
         except asyncio.CancelledError:
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -1,4 +1,4 @@
-"""Leader election: a key under a lease, acquired in the same commit as a term one higher than any before."""
+"""Leader election: one transaction puts the leader key under a lease and raises the stored term by at least one."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from passrock.wire.store import Entry, Put, Write
 
 RENEWALS_PER_LEASE = 4
-RENEWAL_TIMEOUT_DIVISOR = 3
-CAMPAIGN_CHECKS_PER_LEASE = 20  # a free key is noticed within a small part of the lease
-RETRY_DELAY_DIVISOR = 10  # after a request that failed
-CAMPAIGN_JITTER_DIVISOR = 40  # campaigns of several nodes begin apart by up to this part of the lease
+RENEWAL_TIMEOUT_DIVISOR = 3  # a renewal times out after this fraction of the lease
+CAMPAIGN_CHECKS_PER_LEASE = 20  # so that a free leader key is detected within a small part of the lease
+RETRY_DELAY_DIVISOR = 10  # the delay after a failed request is this fraction of the lease
+CAMPAIGN_JITTER_DIVISOR = 40  # each campaign is delayed at random by up to this fraction of the lease
 
-INCARNATION_MASK = (1 << 48) - 1  # 48 bits
-CAMPAIGN_PAUSE_WORKER_LEASES = 0.5  # worker leases for which a controller that has resigned does not campaign
+INCARNATION_MASK = (1 << 48) - 1
+CAMPAIGN_PAUSE_WORKER_LEASES = 0.5  # worker leases during which a controller that resigned does not campaign
 
 
 class Leadership:
-    """This controller's part in leader election: its role, its term and its lease on the leader key.
+    """This controller's role in leader election, its term and its lease on the leader key.
 
     Attributes:
         term: the term that this node leads or last led, which is its fencing token; 0 for none.
-        highest_term: the highest term seen anywhere.
-        leading: whether this node has won a campaign and not stepped down since. Its lease may have expired:
-            see ``holds_lease``.
+        highest_term: the highest term observed in the store or in any message.
+        leading: whether this node has won a campaign and not stepped down since. Its lease may nevertheless have
+            expired: see ``holds_lease``.
         leader_revision: the leader key's revision in that term; every write of the leader is conditional on it.
-        lease_deadline: until when nobody else can hold the key, by the monotonic clock.
-        lease_ttl_s: how long the leader key lives without a renewal.
-        incarnation: tells this process of the node from its former ones.
+        lease_deadline: the monotonic time before which no other node can hold the leader key.
+        lease_ttl_s: how long the leader key exists without a renewal.
+        incarnation: distinguishes this process of the node from its earlier ones.
     """
 
     def __init__(self, settings: Settings, store: KeyValueStoreClient, replica: Replica, rng: random.Random) -> None:
@@ -47,7 +47,7 @@
         self.store = store
         self.replica = replica
         self.rng = rng
-        # from the generator's state, not drawn from it: a draw would shift all later ones that a seed replays
+        # derived from the generator's state without a draw: a draw would change all later values of a seeded run
         self.incarnation = hash(rng.getstate()[1]) & INCARNATION_MASK
         self.lease_ttl_s = settings.leader_lease_s
         self.term = 0
@@ -58,39 +58,39 @@
         self._lease_id = 0
         self._campaign_not_before = NEVER
         self._role_listeners: list[Callable[[], None]] = []
-        self._background_tasks: set[asyncio.Task[None]] = set()  # the event loop itself keeps no reference to a task
+        self._background_tasks: set[asyncio.Task[None]] = set()  # the event loop keeps only weak references
         replica.subscribe(self._on_key_change)
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Have ``listener`` called whenever this node begins or ceases to lead."""
+        """Call ``listener`` whenever this node begins or ceases to lead."""
         self._role_listeners.append(listener)
 
     def holds_lease(self) -> bool:
-        """Whether this node certainly leads now: its lease on the leader key can't have expired."""
+        """Whether this node leads and its lease on the leader key cannot have expired."""
         return self.leading and monotonic_time() < self.lease_deadline
 
     # -- terms ------------------------------------------------------------------------------------
 
     def observe_term(self, term: int) -> None:
-        """A term was seen anywhere: one higher than this node's own ends its leadership at once."""
+        """Record a term from the store or a message; one higher than this node's own ends its leadership at once."""
         if term > self.highest_term:
             self.highest_term = term
         if self.leading and term > self.term:
             self.step_down("higher term")
 
     def on_peer_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """Observe the highest term that a peer knows."""
+        """Observe the highest term that a peer reports."""
         self.observe_term(heartbeat.term)
 
     def _on_key_change(self, key: str, entry: Entry | None) -> None:
-        """A term that the replica shows counts at once, before any worker is redirected to its old leader."""
+        """Observe a new stored term at once, before any worker is redirected to the previous leader."""
         if key == keys.TERM and entry is not None and isinstance(entry.value, int):
             self.observe_term(entry.value)
 
-    # -- the end of a leadership ------------------------------------------------------------------
+    # -- end of the leadership ---------------------------------------------------------------------
 
     def step_down(self, reason: str) -> None:
-        """Give up the leadership, if this node leads; ``reason`` goes into the log."""
+        """End the leadership, if this node leads; ``reason`` is logged."""
         if self.leading:
             info("leadership_lost", term=self.term, reason=reason)
             self.leading = False
@@ -98,9 +98,10 @@
             self._notify_listeners()
 
     def resign(self) -> None:
-        """Yield to a controller that the workers reach, before their leases expire.
+        """Step down in favour of a controller that the workers can reach, before their leases expire.
 
-        The lease is revoked so that another can campaign at once, and this node doesn't for a while.
+        The leader lease is revoked so that another controller can campaign at once; this node pauses its own
+        campaigns for a part of the workers' lease.
         """
         self.step_down("workers reach other controllers only")
         self._campaign_not_before = monotonic_time() + self.settings.lease_s * CAMPAIGN_PAUSE_WORKER_LEASES
@@ -112,7 +113,7 @@
         try:
             await self.store.end_lease(lease_id)
         except StoreError as exc:
-            info("leader_lease_revocation_failed", error=exc)  # it expires by itself
+            info("leader_lease_revocation_failed", error=exc)  # the lease expires by itself
 
     def _notify_listeners(self) -> None:
         for listener in self._role_listeners:
@@ -121,7 +122,7 @@
     # -- renewal and campaigns --------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Renew the lease while leading, else campaign whenever the leader key is free."""
+        """Renew the lease while leading; otherwise campaign whenever the leader key is free. Runs until cancelled."""
         while True:
             try:
                 if self.leading:
@@ -141,9 +142,7 @@
         except LeaseExpiredError:
             self.step_down("lease ended")
             return
-        if (
-            requested_at >= self.lease_deadline
-        ):  # the lease may have expired meanwhile: make sure that the key is ours
+        if requested_at >= self.lease_deadline:  # the lease may have expired before: check that the key is unchanged
             entry, _ = await self.store.get(keys.LEADER, timeout=timeout)
             if entry is None or entry.mod_revision != self.leader_revision:
                 self.step_down("key lost")
@@ -152,7 +151,7 @@
             self.lease_deadline = self._lease_deadline_after(requested_at)
 
     def _lease_deadline_after(self, requested_at: float) -> float:
-        """Until when a lease that was granted or renewed by a request sent at ``requested_at`` lives by any clock."""
+        """Return the time until which a lease granted or renewed by a request sent then is valid by any clock."""
         return requested_at + self.lease_ttl_s / CLOCK_DRIFT_FACTOR
 
     async def _campaign_if_free(self) -> None:
@@ -166,11 +165,11 @@
             await self._campaign(leader, term)
 
     def _names_this_node(self, leader: Entry) -> bool:
-        """Whether the key is of a former incarnation of this node: that process has ended."""
+        """Whether an earlier incarnation of this node, whose process has ended, holds the leader key."""
         return isinstance(leader.value, dict) and leader.value.get("node") == self.settings.node
 
     async def _campaign(self, leader: Entry | None, stored_term: Entry | None) -> None:
-        """Try to acquire the leader key, as the replica shows it, together with the next term."""
+        """Try to acquire the leader key and the next term, conditional on the revisions in the replica."""
         await asyncio.sleep(self.rng.random() * self.lease_ttl_s / CAMPAIGN_JITTER_DIVISOR)
         requested_at = monotonic_time()
         lease_id = await self.store.new_lease(self.lease_ttl_s)
@@ -186,7 +185,7 @@
         try:
             result = await self.store.commit(conditions, writes)
         except UnknownOutcomeError:
-            # it may have been applied, or may be later: ending the lease makes it fail, or removes the key
+            # the commit may be applied already or later: revoking the lease removes the key or makes the commit fail
             await self.store.end_lease(lease_id)
             return
         if not isinstance(result, Committed):
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -1,4 +1,4 @@
-"""One controller: joins its parts, and leads while the leadership is its own."""
+"""One controller: its components, and the leader term while this controller leads."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
     from passrock.admission.controller.control import AdmissionControl
 
 STORE_CONNECTIONS = 12
-FINAL_STATUS_MEMORY_SHARE = 0.03  # of the memory, for the final states of jobs that are kept to answer queries
-FINAL_STATUS_BYTES = 200  # a final state in memory
-CANCELLATION_RETENTION_RATIO = 4.0  # times cancel_s: by then every task of a cancelled job has long ended
-PEER_HEARTBEATS_PER_INTERVAL = 3  # in a worker's heartbeat interval
+FINAL_STATUS_MEMORY_SHARE = 0.03  # of the memory, for final statuses of jobs, cached to answer queries
+FINAL_STATUS_BYTES = 200  # a cached final status
+CANCELLATION_RETENTION_RATIO = 4.0  # of cancel_s, by which all tasks of a cancelled job have ended
+PEER_HEARTBEATS_PER_INTERVAL = 3  # per heartbeat interval of workers
 
 
 class Node:
@@ -82,11 +82,11 @@
             HealthCheck(settings, store, self.replica, self.catalog, self.peer_table),
             self.user_api,
         )
-        self.handle = router.handle  # answers requests that come to the client address
+        self.handle = router.handle  # handler of requests to the client address
         self._set_store_rates(leading=False)
 
     async def run(self) -> None:
-        """Run everything but the listening sockets, until cancelled."""
+        """Run the background tasks until cancelled; the listening sockets are the caller's."""
         settings = self.settings
         tasks = (
             self.replica.run,
@@ -98,7 +98,7 @@
         await run_supervised(tasks, restart_delay_s=settings.leader_lease_s / 4)
 
     def _build_admission_control(self, rng: random.Random) -> AdmissionControl | None:
-        """Fair admission, where the operators' settings have it; nothing of it is loaded otherwise."""
+        """Return fair admission if it is configured; its modules are imported only then."""
         if self.settings.admission is None:
             return None
         from passrock.admission.controller.control import AdmissionControl
@@ -110,7 +110,7 @@
         return control
 
     def _set_store_rates(self, *, leading: bool) -> None:
-        """The leader needs most of the store's rates; the others share the rest."""
+        """Set this controller's share of the store's rates: the leader needs most, followers divide the rest."""
         share = rate_share(leading=leading, nodes=self.settings.nodes)
         for budget, rate in (
             (self.store.requests, self.settings.state_rps),
@@ -147,10 +147,10 @@
             self.cancellations.learn(key[len(keys.CANCELLATION) :], monotonic_time())
 
     def _on_cancellation(self, job_id: str) -> None:
-        """A cancellation is committed: by this node itself, as a peer says, or as the replica shows.
+        """Pass a committed cancellation, from this node, a peer or the replica, to the leader's job table.
 
-        It reaches the leader's job table this way. Its replica may never show one that it committed itself,
-        when the store refuses it from that moment on.
+        The replica alone is not sufficient: if the store refuses this node right after the commit, its replica never
+        receives the cancellation that it committed itself.
         """
         if self.leader_term is not None:
             self.leader_term.on_cancellation(job_id, monotonic_time())
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -1,4 +1,4 @@
-"""A controller as a process: real clients, listening sockets, and settings of the interpreter."""
+"""A controller process: network clients, listening sockets, and garbage collection settings."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 WATCH_CONNECTIONS = 2
 CLOUD_CONNECTIONS = 4
-CLOUD_RATE_SHARE = 0.8  # the part of the cloud's rate that this controller uses
-IDLE_TIMEOUT_S = 60.0  # of a client's connection
-REQUEST_TIMEOUT_HEARTBEATS = 4.0  # heartbeat intervals in which a whole request has to arrive
-GC_THRESHOLDS = (20_000, 20, 50)  # of the three generations: collections are rarer than by default
+CLOUD_RATE_SHARE = 0.8  # of the cloud's request rate, used by this controller
+IDLE_TIMEOUT_S = 60.0  # of client connections
+REQUEST_TIMEOUT_HEARTBEATS = 4.0  # heartbeat intervals within which a request must arrive in full
+GC_THRESHOLDS = (20_000, 20, 50)  # by generation; collections are less frequent than by default
 
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
-    """A node with real clients."""
+    """Return a node with network clients."""
     store = KeyValueStoreClient(
         HttpClient(settings.state, STORE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
@@ -41,7 +41,7 @@
 
 
 async def run_node(node: Node) -> None:
-    """Listen and work until cancelled."""
+    """Listen for requests and run the node until cancelled."""
     settings = node.settings
     server = HttpServer(
         node.handle,
@@ -60,7 +60,7 @@
 
 
 def serve(settings: Settings) -> None:
-    """Run a controller until it is killed."""
+    """Run a controller until the process ends."""
     start_logging(settings.node)
 
     async def main() -> None:
@@ -70,7 +70,7 @@
 
 
 def _configure_garbage_collection() -> None:
-    """Leave what the start has made out of all later collections."""
+    """Exclude the objects created during startup from later collections."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -1,4 +1,4 @@
-"""Linearizable reads from the replica: queries wait until it includes all that was committed before them."""
+"""Linearizable reads from the replica: a query waits until the replica includes all earlier commits."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from passrock.io.errors import StoreError
 from passrock.io.store import KeyValueStoreClient
 
-COMMIT_REQUEST_SHARE = 0.2  # of a second's requests, left for commits when reads serve users' queries
-MAX_READ_WAIT_S = 0.4  # a read waits no longer for the budget of requests: a user waits 2 s for an answer
+COMMIT_REQUEST_SHARE = 0.2  # of a full burst of requests, reserved for commits
+MAX_READ_WAIT_S = 0.4  # for the request budget; users wait 2 s for an answer
 READ_TIMEOUT_S = 1.0
-CATCH_UP_TIMEOUT_S = 0.7  # for the watch to bring the revision that was read
+CATCH_UP_TIMEOUT_S = 0.7  # for a watch to deliver the revision that was read
 
 
 class ReadFence:
-    """Reads the key-value store's revision, once for everyone who asked before the read was sent.
+    """Reads the key-value store's revision once for all queries that arrive before the read is sent.
 
     Args:
-        min_interval_s: the least time between two reads, during which queries gather for the next one.
+        min_interval_s: the minimum delay before a read, in which queries are batched.
     """
 
     def __init__(self, store: KeyValueStoreClient, replica: Replica, min_interval_s: float) -> None:
         self.store = store
         self.replica = replica
         self.min_interval_s = min_interval_s
-        self._next_read: asyncio.Task[bool] | None = None  # not sent yet
+        self._next_read: asyncio.Task[bool] | None = None  # scheduled, not sent yet
 
     async def wait(self) -> bool:
-        """Wait for the replica; returns whether it now includes all that was committed before this call."""
+        """Wait for the replica; returns whether it includes all that was committed before this call."""
         if self._next_read is None:
             self._next_read = asyncio.create_task(self._read())
         return await asyncio.shield(self._next_read)
 
     def _budget_wait_s(self) -> float:
-        """Seconds until a read is within the rate and commits find a part of it left.
+        """Return the seconds until a read is within the request rate, beyond the reserve for commits.
 
-        Reads that waited for their turn one by one grew into a queue of seconds, also for submissions. Until
-        this one is sent everybody joins it, so that there is never more than one.
+        Reads that each reserved a request formed a queue of seconds, which delayed submissions too. So all queries
+        share the scheduled read until it is sent, and at most one read waits at any time.
         """
         requests = self.store.requests
         return min(
@@ -49,7 +49,7 @@
 
     async def _read(self) -> bool:
         await asyncio.sleep(max(self.min_interval_s, self._budget_wait_s()))
-        self._next_read = None  # whoever asks from here on needs a later read
+        self._next_read = None  # queries that arrive from now on need a later read
         read_started_at = monotonic_time()
         try:
             _, revision = await self.store.get(keys.PROBE, timeout=READ_TIMEOUT_S)
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -1,4 +1,4 @@
-"""Loads the records of earlier terms into the tables of a new leader."""
+"""Loading of the records of earlier terms into a new leader's tables."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     rounds: BindingRounds,
     commit_queue: CommitQueue,
 ) -> None:
-    """Fill the job table, the reservations and the inventory of a new term from this node's replica."""
+    """Load the job table, the reservations and the image hints of a new term from this node's replica."""
     _load_jobs(replica, job_table)
     _load_task_pages(replica, job_table, commit_queue)
     _load_cancellations(replica, cancellations, job_table)
@@ -35,7 +35,7 @@
 
 
 def _load_jobs(replica: Replica, job_table: JobTable) -> None:
-    """Load the jobs in the order of their submission."""
+    """Load the jobs in the order of submission."""
     now = monotonic_time()
     jobs = [(decode_record(entry.value, JobRecord), entry) for entry in replica.with_prefix(keys.JOB)]
     jobs.sort(key=lambda job: (job[0].submitted_at, job[1].key))
@@ -44,7 +44,7 @@
 
 
 def _load_task_pages(replica: Replica, job_table: JobTable, commit_queue: CommitQueue) -> None:
-    """Load the further pages of tasks; those that a finished job left behind are to be deleted."""
+    """Load the further pages of tasks, and queue the pages of finished jobs for deletion."""
     for entry in replica.with_prefix(keys.TASK_PAGE):
         job_id, _, number = entry.key[len(keys.TASK_PAGE) :].rpartition("/")
         job = job_table.jobs.get(job_id)
@@ -56,11 +56,11 @@
 
 
 def _load_cancellations(replica: Replica, cancellations: CancellationLog, job_table: JobTable) -> None:
-    """Cancel the jobs that the replica shows cancelled; a peer may have reported some before the replica does."""
+    """Cancel the jobs whose cancellation is in the replica, or in the log, which peers may have updated first."""
     for entry in replica.with_prefix(keys.CANCELLATION):
         job = job_table.jobs.get(entry.key[len(keys.CANCELLATION) :])
         if job is not None:
-            job_table.cancel(job, confirmed_at(entry))
+            job_table.cancel(job, earliest_confirmed_at(entry))
     for job in list(job_table.jobs.values()):
         learned_at = cancellations.learned_at(job.spec.id)
         if learned_at is not None:
@@ -68,10 +68,10 @@
         job_table.check_loaded(job)
 
 
-def confirmed_at(cancellation: Entry) -> float:
-    """The earliest monotonic time at which a cancellation may have been confirmed to its user.
+def earliest_confirmed_at(cancellation: Entry) -> float:
+    """Return the earliest monotonic time at which a cancellation may have been confirmed to its user.
 
-    Whoever takes over counts from then, not from the beginning of its own term.
+    A new leader measures ``cancel_s`` from then, not from the beginning of its own term.
     """
     record = decode_record(cancellation.value, CancellationRecord)
     return monotonic_time() - max(0.0, time_of_day() - record.requested_at)
--- a/src/passrock/controller/record_transaction.py
+++ b/src/passrock/controller/record_transaction.py
@@ -1,4 +1,4 @@
-"""One transaction of the commit queue: its conditions, its writes, and what will be committed with it."""
+"""One transaction of the commit queue: its conditions, its writes, and the changes that it commits."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from passrock.core.records import CANCELLED, DONE, FinalRecord, JobRecord, encode_record
 from passrock.wire.store import Delete, Put, Write
 
-WRITES_PER_FINALIZATION = 3  # a job's record and its cancellation are deleted, its final record is put
+WRITES_PER_FINALIZATION = 3  # delete a job's record and its cancellation, put its final record
 
 
 class PageWrite(msgspec.Struct, frozen=True):
-    """A page in a transaction, with the version of it that the transaction writes."""
+    """A page in a transaction, with the version that the transaction writes."""
 
     job: Job
     number: int
@@ -22,18 +22,18 @@
 
 
 class Finalization(msgspec.Struct, frozen=True):
-    """A job that a transaction ends, with its final status."""
+    """A job that a transaction finalizes, with its final status."""
 
     job: Job
     status: str
 
 
 class RecordTransaction(msgspec.Struct):
-    """Conditions and writes of one transaction, and what it will have committed.
+    """Conditions and writes of one transaction, and the changes that it commits.
 
     Attributes:
-        conditions: the modification revision that each key has to have; 0 for none.
-        orphaned_keys: records that it deletes since their job has ended.
+        conditions: the required ``mod_revision`` of each key; 0 if the key must not exist.
+        orphaned_keys: keys that it deletes because their job has ended.
     """
 
     conditions: dict[str, int]
@@ -43,7 +43,7 @@
     orphaned_keys: list[str] = msgspec.field(default_factory=list)
 
     def add_page(self, job: Job, number: int) -> None:
-        """Write one page of a job's tasks."""
+        """Add the write of one page of a job's tasks."""
         page = job.pages[number]
         page_record = page.to_record()
         record = JobRecord.of(job.spec, job.submitted_at, page_record) if number == 0 else page_record
@@ -53,7 +53,7 @@
         self.page_writes.append(PageWrite(job, number, page, page.version))
 
     def add_finalization(self, job: Job) -> None:
-        """Replace a job's record by its final one; a job counts as done only if no cancellation was committed."""
+        """Add the replacement of a job's record by its final one, as done only if no cancellation is committed."""
         job_id = job.spec.id
         status = CANCELLED if job.cancelled else DONE
         self.conditions[keys.job(job_id)] = job.page(0).mod_revision
@@ -67,6 +67,6 @@
         self.finalizations.append(Finalization(job, status))
 
     def add_orphan_deletion(self, key: str) -> None:
-        """Delete a record that a finished job left behind; it needs no condition, since its key isn't used again."""
+        """Add the deletion of a finished job's record; it needs no condition, since the key is never reused."""
         self.writes.append(Delete(key))
         self.orphaned_keys.append(key)
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -12,15 +12,20 @@
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import Settings
 
-LAUNCH_HORIZON_LEASES = 2.0  # leader leases: a watch over a quiet store answers about so often
-STORE_DOWN_LEASE_RATIO = 0.25  # of the leader lease without service, before the key-value store counts as down
+LAUNCH_HORIZON_LEASES = 2.0  # leader leases; about the interval at which a watch on an unchanged store returns
+STORE_DOWN_LEASE_RATIO = 0.25  # part of the leader lease after which a store that serves no request counts as down
 
 
 class RenewalPolicy:
     """Decides for which worker heartbeats a lease may be renewed, and whether tasks may be launched.
 
-    Renewing a lease keeps the tasks on the machine alive, so whoever does it must know the cancellations that
-    were confirmed to users. ``renewal_horizon_s`` is how old, in seconds, one may be that is not known here.
+    Renewing a lease keeps the tasks on the machine running, so a controller that renews must have the cancellations
+    that were confirmed to users.
+
+    Attributes:
+        renewal_horizon_s: the greatest age of a confirmed cancellation that this controller may lack when it renews.
+        launch_horizon_s: the same for launching tasks.
+        store_down_after_s: the time without service after which the key-value store counts as down.
     """
 
     def __init__(
@@ -40,17 +45,17 @@
         self.launch_horizon_s = min(leadership.lease_ttl_s * LAUNCH_HORIZON_LEASES, self.renewal_horizon_s)
         self.store_down_after_s = leadership.lease_ttl_s * STORE_DOWN_LEASE_RATIO
 
-    # -- knowledge of cancellations ---------------------------------------------------------------
+    # -- completeness of cancellations ------------------------------------------------------------
 
     def has_all_cancellations(self, older_than_s: float) -> bool:
-        """Whether every cancellation confirmed to a user more than ``older_than_s`` ago is known here."""
+        """Whether every cancellation confirmed to a user more than ``older_than_s`` ago is recorded here."""
         now = monotonic_time()
         if now - self.replica.complete_as_of <= older_than_s:
-            return True  # the ordinary case: a read of the key-value store alone proves it
+            return True  # the usual case: a recent read of the key-value store suffices
         return now - self._cancellations_complete_until(now) <= older_than_s
 
     def cancellations_staleness_s(self, now: float) -> float | None:
-        """How old, at most, a cancellation is that was confirmed to a user and is not known to this controller.
+        """Return the greatest possible age of a confirmed cancellation that this controller lacks.
 
         None when no bound can be proved.
         """
@@ -60,22 +65,22 @@
     def _cancellations_complete_until(self, now: float) -> float:
         return complete_until(self.replica.complete_as_of, self.peers.progress, now)
 
-    # -- what may be done -------------------------------------------------------------------------
+    # -- permissions ------------------------------------------------------------------------------
 
     def may_launch(self) -> bool:
-        """Whether tasks may be launched: by the leader, on knowledge not much older than its lease."""
+        """Whether this controller may launch tasks: as the leader, with cancellations that are up to date."""
         return self.leadership.holds_lease() and self.has_all_cancellations(self.launch_horizon_s)
 
     def may_renew(self) -> bool:
-        """Whether worker heartbeats may be answered: as leader, or as the last one during an outage.
+        """Whether this controller may renew worker leases: as leader, or as the last leader during an outage.
 
-        Through an outage of the key-value store the leader key expires for everyone, and tasks must not end.
-        So the last leader goes on renewing worker leases, without launching anything, while a
-        majority of controllers also see the store down and know of no higher term.
+        In an outage of the key-value store the leader key expires and no controller can acquire it, but tasks must
+        go on running. So the last leader continues to renew worker leases, without launching anything, while a
+        majority of controllers also find the store down and have observed no higher term.
 
-        Never without knowledge of the cancellations: other controllers may have confirmed some that this
-        one's replica lacks, and what it renews would run on. Any that it doesn't know is so young that the lease
-        granted now ends within the time allowed.
+        The cancellations must be complete up to ``renewal_horizon_s``: other controllers may have confirmed
+        cancellations that this replica lacks, and a renewal would keep their tasks running. A cancellation that may
+        still be missing is so recent that a lease granted now expires within ``cancel_s`` of its confirmation.
         """
         if not self.has_all_cancellations(self.renewal_horizon_s):
             return False
@@ -93,23 +98,24 @@
         for heartbeat in self.peers.recent_heartbeats(now):
             if heartbeat.term > term:
                 return False
-            # a peer that hasn't read the store since its start has forgotten which terms it acknowledged
+            # a peer that has not read the store since its start has lost the terms that it acknowledged
             if heartbeat.replica_loaded and heartbeat.store_down and heartbeat.term == term:
                 votes += 1
         return is_majority(votes, self.nodes)
 
     def may_renew_leaderless(self, token: int) -> bool:
-        """Whether a worker with this fencing token may be kept alive although nobody leads.
-
-        When the leader ends while the key-value store is away, nobody can campaign and every task
-        would end with its worker's lease. Renewing with the worker's own token, and nothing else, is
-        safe while every single controller says that it does not lead, knows no higher term and sees
-        the store down: a majority is not enough, since those that restarted have forgotten what
-        they acknowledged. A later leader's fence outlasts these renewals like those of a last leader.
-
-        Knowledge of the cancellations is needed as for a leader. After a restart of all nobody has it: a
-        cancellation may have been confirmed just before, and the last leases were granted on knowledge up to
-        ``renewal_horizon_s`` old, so no time is left to spend, and the leases expire unless the store is back.
+        """Whether the lease of a worker with this fencing token may be renewed while there is no leader.
+
+        If the leader fails during an outage of the key-value store, no controller can campaign, and every task
+        would end with its worker's lease. Renewing under the worker's own token, and nothing else, is safe while
+        all controllers report that they do not lead, have observed no higher term and find the store down. A
+        majority is not enough, since controllers that restarted have lost the terms that they acknowledged. A
+        later leader's fence covers these renewals like those of a last leader.
+
+        The cancellations must be complete as for a leader. After a restart of all controllers none can prove
+        this: a cancellation may have been confirmed just before, and the last leases were granted while
+        cancellations up to ``renewal_horizon_s`` old could be missing. So no time is left for another renewal, and
+        the leases expire unless the store recovers.
         """
         now = monotonic_time()
         if not self.has_all_cancellations(self.renewal_horizon_s):
@@ -121,4 +127,6 @@
         heartbeats = self.peers.recent_heartbeats(now)
         if len(heartbeats) + 1 < self.nodes:
             return False
-        return all(one.store_down and not one.leading and one.term <= token for one in heartbeats)
+        return all(
+            heartbeat.store_down and not heartbeat.leading and heartbeat.term <= token for heartbeat in heartbeats
+        )
--- a/src/passrock/controller/replica.py
+++ b/src/passrock/controller/replica.py
@@ -1,4 +1,4 @@
-"""Each controller's replica of the key-value store, kept up to date by a watch."""
+"""A controller's replica of the key-value store, kept up to date by a watch."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from passrock.wire.store import Change, Entry
 
 WATCH_TIMEOUT_MS = 4000  # how long the key-value store holds a watch open while nothing changes
-WATCH_GAP_REQUESTS = 3.0  # between two watches, as a number of requests at this node's rate
+WATCH_GAP_REQUESTS = 3.0  # delay between two watches, in requests at this node's rate
 RETRY_DELAY_S = 0.3
 REPLICATED_PREFIXES = (
     keys.JOB,
@@ -34,15 +34,15 @@
 
 
 class Replica:
-    """A copy of all keys except the final states of jobs, which are only cached.
+    """A copy of all keys except the final statuses of jobs, which are only cached.
 
     Attributes:
-        prefixes: the keys that are copied; subsystems add theirs before the replica is loaded.
+        prefixes: prefixes of the replicated keys; subsystems add theirs before the replica is loaded.
         entries: the keys as of ``revision``.
-        final_statuses: final states by job id, the most recently learned at the end.
-        revision: the store's revision up to which changes have been applied.
+        final_statuses: final statuses by job id, in the order in which they were cached.
+        revision: the store's revision up to which changes are applied.
         loaded: whether the replica is complete as of ``revision``.
-        complete_as_of: the monotonic time at which the last read began that proved the replica complete as of then.
+        complete_as_of: the monotonic start time of the latest read that proved the replica complete as of that time.
     """
 
     def __init__(self, store: KeyValueStoreClient, max_final_statuses: int) -> None:
@@ -59,16 +59,16 @@
         self._advanced = asyncio.Event()  # set, and replaced, whenever the revision rises
 
     def subscribe(self, listener: Listener) -> None:
-        """Have ``listener`` called with each key that changes and its entry, None for a deleted one."""
+        """Call ``listener`` with each key that changes and its entry, or None if the key is deleted."""
         self._listeners.append(listener)
 
     def unsubscribe(self, listener: Listener) -> None:
-        """Have ``listener`` called no longer, if it is subscribed."""
+        """Stop calling ``listener``, if it is subscribed."""
         if listener in self._listeners:
             self._listeners.remove(listener)
 
     async def run(self) -> None:
-        """Load, then follow the changes, for ever."""
+        """Load the replica and apply changes from watches until cancelled."""
         while True:
             try:
                 if not self.loaded:
@@ -77,7 +77,7 @@
                 changes, revision = await self.store.changes(keys.ROOT, self.revision, WATCH_TIMEOUT_MS)
                 self.apply(changes, revision)
                 self.mark_complete(read_started_at)
-                # each new watch is a request: at a high rate of changes it waits, and brings several at a time
+                # each watch is a request: at a high rate of changes the delay makes one watch return several changes
                 await asyncio.sleep(WATCH_GAP_REQUESTS / self.store.requests.rate)
             except CompactedError:
                 self.loaded = False
@@ -101,7 +101,7 @@
         self._notify_waiters()
 
     async def _read_all(self) -> tuple[dict[str, Entry], int]:
-        """All keys, page by page, and the lowest revision of a page: the watch begins there and misses nothing."""
+        """Return all keys and the lowest revision of their pages, from which a watch misses no change."""
         entries: dict[str, Entry] = {}
         lowest: int | None = None
         for prefix in self.prefixes:
@@ -116,11 +116,11 @@
         return entries, lowest or 0
 
     def mark_complete(self, read_started_at: float) -> None:
-        """A read that began then has shown that the replica includes all that was committed before it."""
+        """Record that a read started then has proved the replica to include all earlier commits."""
         self.complete_as_of = max(self.complete_as_of, read_started_at)
 
     def apply(self, changes: list[Change], revision: int) -> None:
-        """Apply changes in the order of a watch that has reached ``revision``, and notify the listeners of each."""
+        """Apply the changes of a watch up to ``revision``, in its order, and notify the listeners of each."""
         for change in changes:
             entry = Entry(change.key, change.value, change.mod_revision) if change.present else None
             if change.key.startswith(keys.FINAL):
@@ -128,8 +128,8 @@
                     self.cache_final_status(change.key[len(keys.FINAL) :], entry.value["s"])
                 continue
             with self._lock:
-                known = self.entries.get(change.key)
-                if known is not None and known.mod_revision > change.mod_revision:
+                current = self.entries.get(change.key)
+                if current is not None and current.mod_revision > change.mod_revision:
                     continue
                 if entry is None:
                     self.entries.pop(change.key, None)
@@ -149,14 +149,14 @@
         self._advanced = asyncio.Event()
 
     def cache_final_status(self, job_id: str, status: str) -> None:
-        """Cache how a job ended; this never changes again."""
+        """Cache the final status of a job, which never changes."""
         with self._lock:
             self.final_statuses[job_id] = status
             if len(self.final_statuses) > self.max_final_statuses:
                 self.final_statuses.popitem(last=False)
 
     async def wait_for_revision(self, revision: int, timeout: float) -> bool:
-        """Wait until the replica includes ``revision``; returns whether it does within ``timeout`` seconds."""
+        """Wait until the replica includes ``revision``; returns False after ``timeout`` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while not self.loaded or self.revision < revision:
@@ -166,10 +166,10 @@
         return True
 
     def get(self, key: str) -> Entry | None:
-        """A key as the replica has it."""
+        """Return the replica's entry for a key, or None."""
         return self.entries.get(key)
 
     def with_prefix(self, prefix: str) -> list[Entry]:
-        """All keys with a prefix, as the replica has them."""
+        """Return the replica's entries whose keys start with a prefix."""
         with self._lock:
             return [entry for key, entry in self.entries.items() if key.startswith(prefix)]
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -1,4 +1,4 @@
-"""Events of a running term: new jobs and cancellations from the store, lost machines from the cloud."""
+"""Handling of a term's events: new jobs and cancellations from the store, deleted machines from the cloud."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from passrock.controller.binding_rounds import BindingRounds
 from passrock.controller.commit_queue import CommitQueue
 from passrock.controller.evaluations import Evaluations
-from passrock.controller.record_loader import confirmed_at
+from passrock.controller.record_loader import earliest_confirmed_at
 from passrock.core.cancellations import CancellationLog
 from passrock.core.job_table import JobTable
 from passrock.core.model import Priority
@@ -19,7 +19,7 @@
 
 
 class StateEvents:
-    """Enters events in the leader's tables and wakes whoever acts on them."""
+    """Applies events to the leader's tables and requests commits, evaluations and binding rounds."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         evaluations: Evaluations,
         plan_now: Callable[[], None],
     ) -> None:
-        """``plan_now`` brings the next plan of preemption and scale-out forward."""
+        """``plan_now`` makes the next evaluation plan preemption and scaling."""
         self.cancellations = cancellations
         self.job_table = job_table
         self.assignments = assignments
@@ -41,11 +41,11 @@
         self.plan_now = plan_now
 
     def on_change(self, key: str, entry: Entry | None) -> None:
-        """The replica shows a changed key; ``entry`` is None when it was deleted."""
+        """Handle a changed key of the replica; ``entry`` is None if the key was deleted."""
         if key.startswith(keys.JOB):
             self._on_job_change(key[len(keys.JOB) :], entry)
         elif key.startswith(keys.CANCELLATION) and entry is not None:
-            self.on_cancellation(key[len(keys.CANCELLATION) :], confirmed_at(entry))
+            self.on_cancellation(key[len(keys.CANCELLATION) :], earliest_confirmed_at(entry))
 
     def _on_job_change(self, job_id: str, entry: Entry | None) -> None:
         if entry is None:
@@ -58,7 +58,7 @@
         job = self.job_table.load(record, entry.mod_revision, monotonic_time(), time_of_day())
         self.rounds.bring_forward()
         if job.spec.priority is Priority.PRODUCTION:
-            self.plan_now()  # it preempts at once, best before the work that it preempts is launched
+            self.plan_now()  # a production job preempts at once, ideally before its victims are launched
         info(
             "job_loaded",
             job=job_id,
@@ -72,19 +72,19 @@
         if learned_at is not None:
             self.on_cancellation(job_id, learned_at)
 
-    def on_cancellation(self, job_id: str, at: float) -> None:
-        """A cancellation was committed at ``at`` (monotonic) or later, as the replica or a peer says."""
+    def on_cancellation(self, job_id: str, confirmed_at: float) -> None:
+        """Cancel a job whose cancellation was committed at ``confirmed_at`` (monotonic) or later."""
         job = self.job_table.jobs.get(job_id)
         if job is None:
             return
         if not job.cancelled:
             info("job_cancelled", job=job_id)
-        self.job_table.cancel(job, at)
+        self.job_table.cancel(job, confirmed_at)
         self.commit_queue.commit_requested.set()
         self.evaluations.request()
 
     def on_machine_lost(self, name: str) -> None:
-        """The cloud has confirmed that a machine is deleted."""
+        """Release the tasks of a machine that the cloud has confirmed as deleted."""
         lost = self.job_table.machine_lost(name, monotonic_time())
         self.assignments.pop(name, None)
         self.rounds.bring_forward()
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -1,4 +1,4 @@
-"""The fence of a term: from when on no controller can renew worker leases for an older one."""
+"""The fence of a term: the time after which no controller can renew worker leases under an older term."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 
 
 class TermFence:
-    """When a majority of controllers had acknowledged this leader's term, and support of older ones had run out.
+    """Determines from when on older leaders lack the support that they need to renew worker leases.
 
-    Any majority that lets an older leader go on renewing through an outage contains a controller that
-    acknowledged this term. Worker leases are counted as expired only from the fence on.
+    In an outage of the key-value store a leader renews worker leases with the support of a majority of controllers.
+    Once a majority has acknowledged this leader's term, every majority contains a controller that no longer supports
+    an older term; answers that it gave before count for ``PeerTable.support_s``. Worker leases can count as expired
+    only from the fence on.
 
     Attributes:
-        confirmed_at: the monotonic time of the fence, which may lie ahead; None while no majority is known.
+        effective_at: the monotonic time of the fence, which may be in the future; None until a majority has
+            acknowledged the term.
     """
 
     def __init__(self, leadership: Leadership, peers: PeerTable, nodes: int) -> None:
@@ -25,7 +28,7 @@
         self.effective_at: float | None = None
 
     def update(self) -> None:
-        """Set the fence once a majority has acknowledged the term."""
+        """Set the fence if a majority of the controllers has acknowledged the term."""
         if not self.leadership.leading or self.effective_at is not None:
             return
         term = self.leadership.term
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -1,4 +1,4 @@
-"""Where a worker should go whose heartbeat this controller can't answer."""
+"""Redirects for workers whose heartbeat this controller cannot answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WorkerRedirects:
-    """Names the leader to workers, or another follower to those that have just lost it."""
+    """Redirects workers to the leader, or to another follower if they have just lost contact with the leader."""
 
     def __init__(
         self,
@@ -36,48 +36,50 @@
         )
 
     def redirect_target(self, machine: str, token: int) -> str | None:
-        """The node to which a worker with this fencing token should go; None when nobody can be named.
+        """Return the node to which a worker with this fencing token is redirected, or None if there is none.
 
-        One that knows the present term has lost its leader, or it would not have come. It goes to another
-        follower while the leader may be about to step down: every attempt at one that can't be reached costs
-        a large part of the worker's lease.
+        A worker with the current term's token contacts a follower only if it has lost contact with the leader. It is
+        redirected to another follower while the leader may be about to step down, since each attempt to contact an
+        unreachable leader costs a large part of the worker's lease.
         """
         now = monotonic_time()
         leader = self.current_leader(now)
-        lost = self.lost_workers
+        lost_workers = self.lost_workers
         highest_term = self.leadership.highest_term
         if token and not self.leadership.leading:
-            lost.record_visit(machine, token, leader, highest_term, now)
-        same_leader_as_lost = leader is None or (leader == lost.leader and highest_term <= lost.leader_term)
-        if same_leader_as_lost and lost.should_avoid_leader(machine, now):
-            return lost.next_follower(self._followers(now), self.node)
+            lost_workers.record_visit(machine, token, leader, highest_term, now)
+        same_leader_as_lost = leader is None or (
+            leader == lost_workers.leader and highest_term <= lost_workers.leader_term
+        )
+        if same_leader_as_lost and lost_workers.should_avoid_leader(machine, now):
+            return lost_workers.next_follower(self._followers(now), self.node)
         return leader if leader != self.node else None
 
     def current_leader(self, now: float) -> str | None:
-        """The node that leads, as far as is known here lately.
+        """Return the current leader according to recent information, or None.
 
-        A peer that says so itself comes first. The replica counts only while the key-value store
-        answers: a node cut off from it would otherwise send workers to a leader that was replaced long ago.
+        A peer that reports itself as the leader takes precedence. The replica is used only while the key-value store
+        answers: a node cut off from the store could otherwise redirect workers to a leader replaced long ago.
         """
         lease_ttl_s = self.leadership.lease_ttl_s
         highest_term = self.leadership.highest_term
-        leading = [
-            one for one in self.peers.heartbeats(now - lease_ttl_s) if one.leading and one.term >= highest_term
+        leaders = [
+            peer for peer in self.peers.heartbeats(now - lease_ttl_s) if peer.leading and peer.term >= highest_term
         ]
-        if leading:
-            return max(leading, key=lambda heartbeat: heartbeat.term).node
+        if leaders:
+            return max(leaders, key=lambda peer: peer.term).node
         entry = self.replica.get(keys.LEADER)
         if entry is None or not isinstance(entry.value, dict) or self.store.is_unavailable(now, lease_ttl_s):
             return None
         node, term = entry.value.get("node"), entry.value.get("term")
         if not isinstance(node, str) or not isinstance(term, int) or term < highest_term:
-            return None  # the replica lags: that leader has been replaced
+            return None  # the replica lags: the leader in it has been replaced
         return node
 
     def recent_worker_count(self, now: float) -> int:
-        """How many workers that know the present term came here lately."""
+        """Return how many workers with the current term's token contacted this controller recently."""
         return self.lost_workers.count(self.leadership.highest_term, now)
 
     def _followers(self, now: float) -> list[str]:
-        """The other controllers that answered lately and don't lead."""
+        """Return the other controllers that answered recently and do not lead."""
         return [heartbeat.node for heartbeat in self.peers.recent_heartbeats(now) if not heartbeat.leading]
