--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -83,7 +83,7 @@
         settings: the node's settings.
         job_table: the jobs; tasks are released in it when the lease of their machine expires.
         inventory: the machines.
-        leadership: resigned when this leader is the one that is cut off.
+        leadership: resigned when the leader itself is cut off from the workers.
         fence: the time since which no older leader can have renewed a worker's lease.
         peers: their heartbeats show whether only this leader is cut off from the workers.
         provisioner: deletes failed machines.
@@ -207,8 +207,8 @@
             outage_s = now - max(machine.last_heartbeat_at, self.health.observing_since)
             if outage_s < self._outage_timeout_s(machine):
                 return True
-        since_heartbeat_s = now - self.health.last_seen_at(machine)
-        return outage.is_emerging and since_heartbeat_s < self.health.unresponsive_after_s + self.settings.report_s
+        since_seen_s = now - self.health.last_seen_at(machine)
+        return outage.is_emerging and since_seen_s < self.health.unresponsive_after_s + self.settings.report_s
 
     def _outage_timeout_s(self, machine: Machine) -> float:
         """Return how long to wait for a machine in a correlated outage.
--- a/src/passrock/controller/keys.py
+++ b/src/passrock/controller/keys.py
@@ -26,7 +26,7 @@
 
 
 def reservation(team: str, page: int) -> str:
-    """Return the key of a page of a team's reservation; its machines may exceed the size of one record."""
+    """Return the key of a page of a team's reservation; a long list of machines spans several pages."""
     return f"{RESERVATION_PAGE}{page}/{team}" if page else RESERVATION + team
 
 
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -1,4 +1,4 @@
-"""Leader election: one transaction puts the leader key under a lease and raises the stored term by at least one."""
+"""Leader election: one transaction acquires the leader key under a lease and stores a new highest term."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 RENEWAL_TIMEOUT_DIVISOR = 3  # a renewal times out after this fraction of the lease
 CAMPAIGN_CHECKS_PER_LEASE = 20  # so that a free leader key is detected within a small part of the lease
 RETRY_DELAY_DIVISOR = 10  # the delay after a failed request is this fraction of the lease
-CAMPAIGN_JITTER_DIVISOR = 40  # each campaign is delayed at random by up to this fraction of the lease
+CAMPAIGN_JITTER_DIVISOR = 40  # random delay of up to this fraction of the lease, so that nodes campaign apart
 
 INCARNATION_MASK = (1 << 48) - 1
 CAMPAIGN_PAUSE_WORKER_LEASES = 0.5  # worker leases during which a controller that resigned does not campaign
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -1,4 +1,4 @@
-"""Cancellations confirmed while the key-value store refuses the leader alone, and then every controller."""
+"""Cancellations confirmed while the key-value store refuses only the leader, and then every controller."""
 
 import asyncio
 
@@ -7,8 +7,7 @@
 from standins import virtual_time
 from standins.scenarios import others, settled_cluster
 
-# (fault of the confirming controller, or of all, during the outage; whether the tasks of jobs that nobody cancelled
-# must survive)
+# (additional fault during the outage; whether the tasks of jobs that are not cancelled must survive it)
 FAULTS = [
     ("nothing", True),
     ("confirming node crashes", False),
@@ -23,7 +22,7 @@
 
 
 async def outage_after_refusal(seed, fault, pause=0.3):
-    """The key-value store refuses the leader alone, another node confirms, then there is an outage for all."""
+    """Refuse the leader alone, cancel a job at another node, then begin an outage for all controllers."""
     cluster, leader = await settled_cluster(seed)
     confirming, third = others(cluster, leader)
     if fault == "workers reach the leader only":
@@ -34,10 +33,10 @@
     cluster.spawn(cluster.refuse(leader, 14.0))
     await asyncio.sleep(1.5)
     if not pause:
-        cluster.spawn(cluster.refuse(third, 1.0))  # no other node can know of the cancellation
+        cluster.spawn(cluster.refuse(third, 1.0))  # no other node can receive the cancellation
         await asyncio.sleep(0.5)
     confirmed = await cluster.cancel("wk-000000", confirming)
-    known = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
+    in_leader_replica = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
     if fault == "confirming node crashes":
         cluster.nodes[confirming].kill()
     elif fault == "confirming node crashes and restarts at once":
@@ -56,63 +55,65 @@
     elif fault == "leader restarts":
         await asyncio.sleep(10 * pause)
         await cluster.crash([leader], 1.0)
-    bystanders = {
+    other_jobs = {
         job
         for (job, _), places in cluster.checker.present.items()
         if job != "wk-000000" and (fault != "machine hangs" or machine not in dict(places))
     }
     await asyncio.sleep(cancel_s)
-    survivors = bystanders <= {job for (job, _), places in cluster.checker.present.items() if places}
-    led = cluster.nodes[leader].node.leadership.leading
+    survived = other_jobs <= {job for (job, _), places in cluster.checker.present.items() if places}
+    still_leading = cluster.nodes[leader].node.leadership.leading
     starts = cluster.checker.starts
     await asyncio.sleep(cancel_s)
-    return cluster, confirmed, known, survivors, led, starts
+    return cluster, confirmed, in_leader_replica, survived, still_leading, starts
 
 
 @pytest.mark.parametrize(("fault", "tasks_survive"), FAULTS)
 @pytest.mark.parametrize(("seed", "pause"), [(200, 0.3), (201, 0.0)])
-def test_gap_between_a_refused_leader_and_an_outage(seed, pause, fault, tasks_survive):
-    """A leader that renews through an outage must know each cancellation that another controller confirmed.
+def test_cancellation_between_a_refusal_of_the_leader_and_an_outage(seed, pause, fault, tasks_survive):
+    """A leader that renews leases through an outage must have each cancellation confirmed by another controller.
 
-    It once relied on the majority's connectivity to the store and on the term alone, and kept cancelled tasks alive.
+    A leader that relied only on the term and on a majority that found the store down kept cancelled tasks running.
     """
-    cluster, confirmed, known, survivors, led, starts = virtual_time.run(outage_after_refusal(seed, fault, pause))
+    cluster, confirmed, in_leader_replica, survived, still_leading, starts = virtual_time.run(
+        outage_after_refusal(seed, fault, pause)
+    )
     assert confirmed  # by another controller
-    assert not known  # the leader's replica did not have it
+    assert not in_leader_replica
     assert cluster.checker.broken == []
     assert not cluster.checker.present[("wk-000000", 0)]
     if tasks_survive:
-        assert led
-        assert survivors
-        assert starts == 4  # no other task was restarted for it
+        assert still_leading
+        assert survived
+        assert starts == 4  # no other task was restarted
 
 
-def test_gap_after_a_confirmation_by_the_leader_itself():
-    """Refused from its own commit on, the leader's replica never gets it: its log of cancellations must have it."""
+def test_cancellation_confirmed_by_the_leader_before_it_is_refused():
+    """The store refuses the leader right after its commit, so that only its cancellation log has the cancellation."""
 
     async def main():
         cluster, leader = await settled_cluster(202)
         sim, handle = cluster.nodes[leader], cluster.state.handle
 
-        async def refused_from_here_on(method, path, body):
+        async def refuse_after_commit(method, path, body):
             if path == "/commit" and b"p/c/wk-000000" in body:
                 sim.refused = True
             return await handle(method, path, body)
 
-        cluster.state.handle = refused_from_here_on
+        cluster.state.handle = refuse_after_commit
         confirmed = await cluster.cancel("wk-000000", leader)
         cluster.state.handle = handle
-        known = sim.node.replica.get("p/c/wk-000000") is not None
+        in_replica = sim.node.replica.get("p/c/wk-000000") is not None
         await cluster.outage(cluster.limits["cancel_s"] * 1.4)
         sim.refused = False
-        led = sim.node.leadership.leading
+        still_leading = sim.node.leadership.leading
         await asyncio.sleep(20.0)
-        return cluster, confirmed, known, led
+        return cluster, confirmed, in_replica, still_leading
 
-    cluster, confirmed, known, led = virtual_time.run(main())
+    cluster, confirmed, in_replica, still_leading = virtual_time.run(main())
     assert confirmed
-    assert not known
-    assert led
+    assert not in_replica
+    assert still_leading
     assert cluster.checker.broken == []
     assert not cluster.checker.present[("wk-000000", 0)]
     assert cluster.checker.starts == 4
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""A leader that loses its workers alone: the lease is a budget, and every step of the failover has its share."""
+"""Failover from a leader that only its workers cannot reach, with a deadline for each step within their lease."""
 
 import asyncio
 
@@ -7,64 +7,64 @@
 from standins import virtual_time
 from standins.simulated_cluster import SimulatedCluster
 
-# Shares of lease_s from the moment of the cut until: the leader has noticed and stepped down, another leads, its
-# records are loaded, the last worker's lease is renewed. A worker waits 4 s for an answer and 1 s before its next
-# attempt, of a lease of 10 s here; what is left allows for one lost message.
-STEPPED_DOWN, LEADING, LOADED, RENEWED = 0.66, 0.70, 0.74, 0.85
+# Deadlines as shares of lease_s, measured from the cut: the old leader has stepped down, a new one leads, it has
+# loaded the records, and the last worker's lease is renewed. A worker waits 4 s for an answer and 1 s before its next
+# attempt, of a lease of 10 s here; the remainder allows for one lost message.
+STEPPED_DOWN_SHARE, LEADING_SHARE, LOADED_SHARE, RENEWED_SHARE = 0.66, 0.70, 0.74, 0.85
 
 
-async def lose_workers(seed, cut_share, machines=12):
-    """The leader's links to some of its workers hang; when each step of the failover was reached."""
+async def cut_off_workers(seed, cut_share, machines=12):
+    """Make the links of a share of the workers to the leader hang; returns the time of each step of the failover."""
     cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, limit=24.0)
     for number in range(6):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, volumes=2)
         cluster.spawn(cluster.user(spec, cancel_after=1e9))
     await asyncio.sleep(25.0)
-    old = await cluster.wait_for_leader()
+    old_leader = await cluster.wait_for_leader()
     workers = sorted(cluster.workers.values(), key=lambda worker: worker.name)
-    lost = workers[: round(len(workers) * cut_share)]
-    began = cluster.now()
-    cluster.cuts += [("link", (worker.name, old), began + 40.0) for worker in lost]
+    cut_workers = workers[: round(len(workers) * cut_share)]
+    cut_at = cluster.now()
+    cluster.cuts += [("link", (worker.name, old_leader), cut_at + 40.0) for worker in cut_workers]
     incarnations = {worker.name: worker.incarnation for worker in workers}
     steps = {}
     terms = []
-    while cluster.now() < began + 40.0:
+    while cluster.now() < cut_at + 40.0:
         await asyncio.sleep(0.02)
         leading = [sim.node for sim in cluster.nodes.values() if sim.node.leadership.leading]
         if not leading:
-            steps.setdefault("stepped down", cluster.now() - began)
+            steps.setdefault("stepped down", cluster.now() - cut_at)
         for node in leading:
-            if node.settings.node != old:
-                steps.setdefault("leading", cluster.now() - began)
+            if node.settings.node != old_leader:
+                steps.setdefault("leading", cluster.now() - cut_at)
                 if node.leader_term.ready:
-                    steps.setdefault("loaded", cluster.now() - began)
-        if all(worker.sent_ok > began for worker in workers):
-            steps.setdefault("renewed", cluster.now() - began)
+                    steps.setdefault("loaded", cluster.now() - cut_at)
+        if all(worker.sent_ok > cut_at for worker in workers):
+            steps.setdefault("renewed", cluster.now() - cut_at)
         terms = [sim.node.leadership.highest_term for sim in cluster.nodes.values()]
-    ended = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
-    return cluster, (old, cluster.leaders()), steps, ended, max(terms)
+    expired_workers = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
+    return cluster, (old_leader, cluster.leaders()), steps, expired_workers, max(terms)
 
 
 @pytest.mark.parametrize("seed", range(300, 310))
-def test_workers_find_the_next_leader_within_their_leases(seed):
-    """Followers once sent workers back to the old leader, or on to it by their order, after another led already."""
-    cluster, (old, now), steps, ended, term = virtual_time.run(lose_workers(seed, 1.0))
-    lease = cluster.limits["lease_s"]
-    assert now != [old]
-    assert term == 2  # the leadership changed hands once only
-    assert ended == []
-    assert steps["stepped down"] <= STEPPED_DOWN * lease
-    assert steps["leading"] <= LEADING * lease
-    assert steps["loaded"] <= LOADED * lease
-    assert steps["renewed"] <= RENEWED * lease
+def test_workers_reach_the_next_leader_within_their_leases(seed):
+    """Followers redirected workers to the old leader, also by the order of their ring, when another already led."""
+    cluster, (old_leader, leaders), steps, expired_workers, term = virtual_time.run(cut_off_workers(seed, 1.0))
+    lease_s = cluster.limits["lease_s"]
+    assert leaders != [old_leader]
+    assert term == 2  # there was only one change of leadership
+    assert expired_workers == []
+    assert steps["stepped down"] <= STEPPED_DOWN_SHARE * lease_s
+    assert steps["leading"] <= LEADING_SHARE * lease_s
+    assert steps["loaded"] <= LOADED_SHARE * lease_s
+    assert steps["renewed"] <= RENEWED_SHARE * lease_s
     assert cluster.checker.broken == []
 
 
 @pytest.mark.parametrize("seed", range(310, 313))
 def test_a_leader_stays_when_few_workers_are_cut_off(seed):
-    """One machine of twelve is no reason to resign, however often it comes to the others."""
-    cluster, (old, now), steps, _, term = virtual_time.run(lose_workers(seed, 1 / 12))
-    assert now == [old]
+    """A single cut-off machine of twelve must not make the leader resign, however often it contacts followers."""
+    cluster, (old_leader, leaders), steps, _, term = virtual_time.run(cut_off_workers(seed, 1 / 12))
+    assert leaders == [old_leader]
     assert term == 1
     assert steps.get("leading") is None
     assert cluster.checker.broken == []
