--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -275,7 +275,10 @@
                 self.provisioner.deprovision(machine)
 
     def _resolve_unlisted(self) -> None:
-        """Delete machines of stored records that have appeared neither in the cloud's list nor by a heartbeat."""
+        """Resolve machines that have attempts in the job table but are not in the inventory.
+
+        A machine that neither the cloud's list nor a heartbeat has shown is deleted; a deleted one is reported lost.
+        """
         for name in list(self.job_table.attempts_by_machine):
             if name not in self.inventory.machines and name not in self.inventory.deleted:
                 self.provisioner.deprovision_by_name(name)
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -169,7 +169,7 @@
 
     def start(self) -> None:
         """Start the background tasks of the term."""
-        self.tasks = [asyncio.create_task(self._resign_on_failure(self._run()))]
+        self.tasks = [asyncio.create_task(self._step_down_on_failure(self._run()))]
 
     def stop(self) -> None:
         """Cancel the background tasks and subscriptions of the term."""
@@ -187,7 +187,7 @@
         # looks up the attribute when called: the callers are created before state_events
         self.state_events.on_machine_lost(name)
 
-    async def _resign_on_failure(self, work: Awaitable[None]) -> None:
+    async def _step_down_on_failure(self, work: Awaitable[None]) -> None:
         """Step down if ``work`` fails: a leader whose background task has ended must not keep the leader key."""
         try:
             await work
@@ -205,7 +205,7 @@
             await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
         self._load_records()
         self.tasks += [
-            asyncio.create_task(self._resign_on_failure(work))
+            asyncio.create_task(self._step_down_on_failure(work))
             for work in (
                 self.commit_queue.run(),
                 self.provisioner.poll_machine_list(),
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -36,7 +36,7 @@
 STORE_CONNECTIONS = 12
 FINAL_STATUS_MEMORY_SHARE = 0.03  # of the memory, for final statuses of jobs, cached to answer queries
 FINAL_STATUS_BYTES = 200  # a cached final status
-CANCELLATION_RETENTION_RATIO = 4.0  # of cancel_s, by which all tasks of a cancelled job have ended
+CANCELLATION_RETENTION_RATIO = 4.0  # of cancel_s; all tasks of a cancelled job have ended well before
 PEER_HEARTBEATS_PER_INTERVAL = 3  # per heartbeat interval of workers
 
 
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -68,7 +68,7 @@
     # -- permissions ------------------------------------------------------------------------------
 
     def may_launch(self) -> bool:
-        """Whether this controller may launch tasks: as the leader, with cancellations that are up to date."""
+        """Whether this controller leads and lacks no cancellation older than ``launch_horizon_s``."""
         return self.leadership.holds_lease() and self.has_all_cancellations(self.launch_horizon_s)
 
     def may_renew(self) -> bool:
