--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -45,7 +45,7 @@
             max_leaders = max(max_leaders, len(current_leaders))
             if changed_at is None and current_leaders and current_leaders[0] != old_leader:
                 changed_at = step * 0.05
-        follower = next(sim for name, sim in cluster.nodes.items() if name != old_leader)
+        follower = next(peer for name, peer in cluster.nodes.items() if name != old_leader)
         late_commit = await follower.node.store.commit({"p/lead": leader_revision}, [Put("p/j/wk-1", {})])
         return cluster, max_leaders, changed_at, late_commit
 
