--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -1,4 +1,4 @@
-"""The types that all modules share: resources, teams, machine types and job specifications."""
+"""Types that all modules share: resources, teams, machine types and job specifications."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-EPSILON = 1e-6  # sums of amounts of resources may differ by rounding errors
+EPSILON = 1e-6  # tolerance for rounding errors in sums of resources
 
 
 class JobKind(StrEnum):
-    """How the tasks of a job relate: independent ones, a gang, or replicas of a service."""
+    """Kind of a job, by its tasks: independent tasks, a gang, or replicas of a service."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -18,7 +18,7 @@
 
 
 class Priority(IntEnum):
-    """Priority class of a job; a higher one may preempt a lower one."""
+    """Priority class of a job; jobs of a higher class may preempt those of a lower class."""
 
     LOW = 0
     NORMAL = 1
@@ -27,7 +27,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """What a task requests or a machine offers, memory in GB; created in large numbers, hence without cyclic GC."""
+    """Resources of a task or a machine, memory in GB; created in large numbers, hence untracked by the cyclic GC."""
 
     cpus: float
     gpus: float
@@ -40,7 +40,7 @@
         return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.memory - other.memory)
 
     def scaled(self, count: float) -> Resources:
-        """The amount that ``count`` of these take together."""
+        """Return ``count`` times this amount."""
         return Resources(self.cpus * count, self.gpus * count, self.memory * count)
 
     def fits(self, capacity: Resources) -> bool:
@@ -52,7 +52,7 @@
         )
 
     def fit_count(self, capacity: Resources, limit: int) -> int:
-        """How many times this amount fits into ``capacity``, up to ``limit``."""
+        """Return how many times this amount fits into ``capacity``, up to ``limit``."""
         counts = [
             int((available + EPSILON) / requested)
             for requested, available in (
@@ -65,7 +65,7 @@
         return max(0, min([limit, *counts]))
 
     def dominant_share(self, total: Resources) -> float:
-        """The largest share that this amount takes of any resource of ``total`` (dominant resource fairness)."""
+        """Return the largest share of any resource of ``total`` in this amount (dominant resource fairness)."""
         shares = [
             requested / available
             for requested, available in (
@@ -82,24 +82,24 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team with its guaranteed capacity and its quota (``*_max``), in CPUs and GPUs; 0 stands for none."""
+    """A team with its guarantee and its quota (``max_*``), in CPUs and GPUs; 0 means no guarantee or no limit."""
 
     name: str
-    cpus: float
-    cpus_max: float
-    gpus: float
-    gpus_max: float
+    guaranteed_cpus: float
+    max_cpus: float
+    guaranteed_gpus: float
+    max_gpus: float
 
     @property
     def has_guarantee(self) -> bool:
         """Whether any capacity is guaranteed to the team."""
-        return self.cpus > 0 or self.gpus > 0
+        return self.guaranteed_cpus > 0 or self.guaranteed_gpus > 0
 
     def within_quota(self, used: Resources) -> bool:
         """Whether ``used`` stays within the team's quota."""
         return not (
-            (self.cpus_max > 0 and used.cpus > self.cpus_max + EPSILON)
-            or (self.gpus_max > 0 and used.gpus > self.gpus_max + EPSILON)
+            (self.max_cpus > 0 and used.cpus > self.max_cpus + EPSILON)
+            or (self.max_gpus > 0 and used.gpus > self.max_gpus + EPSILON)
         )
 
     def within_guarantee(self, used: Resources) -> bool:
@@ -107,31 +107,43 @@
         if not self.has_guarantee:
             return False
         return not (
-            (self.cpus > 0 and used.cpus > self.cpus + EPSILON) or (self.gpus > 0 and used.gpus > self.gpus + EPSILON)
+            (self.guaranteed_cpus > 0 and used.cpus > self.guaranteed_cpus + EPSILON)
+            or (self.guaranteed_gpus > 0 and used.gpus > self.guaranteed_gpus + EPSILON)
         )
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A machine type that the cloud offers: prices per hour, rates in GB per second, times in seconds."""
+    """A machine type that the cloud offers; prices are per hour, times in seconds."""
 
     name: str
     size: Resources
     cache_gb: float
-    fetch_rate: float
+    fetch_gb_per_s: float
     price: float
     spot_price: float
     boot_s: float
     zones: tuple[str, ...]
 
     def price_for(self, *, spot: bool) -> float:
-        """The price per hour of a spot instance or an on-demand machine."""
+        """Return the price per hour of a spot instance or of an on-demand machine."""
         return self.spot_price if spot else self.price
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """What a user submitted; never changes.
-
-    Memory and image sizes are in GB; ``deadline_s`` counts from the submission.
+    """The specification of a job as submitted by the user; it never changes.
+
+    Attributes:
+        tasks: the number of tasks.
+        resources: the resources that each task requests.
+        machine_types: names of the allowed machine types; None allows all.
+        zone: the only allowed zone; None allows all.
+        single_zone: whether all tasks have to be in the same zone.
+        spread_zones: whether no zone may have more than half of the tasks, rounded up.
+        allows_spot: whether the tasks may run on spot instances.
+        estimated_run_s: the owner's estimate of the run time.
+        checkpoint_interval_s: the interval between checkpoints; 0 if the tasks save none.
+        checkpoint_save_s: the time to save a checkpoint.
+        deadline_s: the time by which the job should finish, relative to the submission.
     """
 
     id: str
@@ -143,7 +155,7 @@
     resources: Resources
     image: str
     image_gb: float
-    types: tuple[str, ...] | None
+    machine_types: tuple[str, ...] | None
     zone: str | None
     single_zone: bool
     spread_zones: bool
@@ -154,13 +166,13 @@
     deadline_s: float | None
 
     def allows(self, type_name: str, zone: str, *, spot: bool) -> bool:
-        """Whether the job may use machines of this type in this zone, spot instances or on-demand ones."""
+        """Whether the job may use spot instances, or on-demand machines, of this type in this zone."""
         return (
-            (self.types is None or type_name in self.types)
+            (self.machine_types is None or type_name in self.machine_types)
             and (self.zone is None or self.zone == zone)
             and (self.allows_spot or not spot)
         )
 
-    def zone_cap(self) -> int:
-        """The most tasks that may be in one zone: half of them, rounded up, when they have to be spread."""
+    def max_tasks_per_zone(self) -> int:
+        """Return how many tasks may be in the same zone: half of them, rounded up, if they have to be spread."""
         return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
