--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -99,9 +99,11 @@
         self._detect_process_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.delete_with_cancelled_tasks(now)  # cancel_s also applies during an outage
+                self.failure_detector.delete_machines_with_cancelled_tasks(
+                    now
+                )  # cancel_s also applies during an outage
             return
-        self.fence.check()
+        self.fence.update()
         plan_due = now >= self._plan_due_at
         if plan_due:
             self._plan_due_at = now + self.settings.report_s * PLAN_INTERVAL_HEARTBEATS
@@ -112,7 +114,7 @@
             self.autoscaler.adjust(self.scheduler.waiting_jobs, now)
         self.binding_rounds.run_if_due(now)
         if self.job_table.uncommitted or self.job_table.finalizing:
-            self.commit_queue.wake.set()
+            self.commit_queue.commit_requested.set()
         self.evaluations.record_finished()
 
     def _detect_process_pause(self, now: float) -> None:
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -73,7 +73,7 @@
             _log_changes(result, machine, now)
             self.evaluations.request()
         if self.job_table.uncommitted or self.job_table.finalizing:
-            self.commit_queue.wake.set()
+            self.commit_queue.commit_requested.set()
         if machine.deleting:
             return None  # the deletion may take long; without answers the lease expires too
         machine.last_answer_at = now
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -8,7 +8,7 @@
 from passrock.controller import keys
 from passrock.controller.admission_controller import AdmissionController, Refusal
 from passrock.controller.job_lookup import QUEUED, JobLookup, UnavailableError
-from passrock.controller.read_fence import READ_WAIT_S
+from passrock.controller.read_fence import MAX_READ_WAIT_S
 from passrock.controller.replica import Replica
 from passrock.controller.request_limits import make_request_limiter, refuse, run_limited, run_measured
 from passrock.controller.submissions import AdmissionTokenExpiredError, Submitter
@@ -61,7 +61,7 @@
         self.admission_controller = admission_controller
         slack_s = settings.report_s / LIMITER_SLACK_DIVISOR
         # the wait for a shared read does not indicate a queue
-        self.read_limiter = make_request_limiter(settings, slack_s + READ_WAIT_S)
+        self.read_limiter = make_request_limiter(settings, slack_s + MAX_READ_WAIT_S)
         # submissions and cancellations have their own limiter, so that reads don't delay them
         self.write_limiter = make_request_limiter(settings, slack_s)
         self.lookup = JobLookup(settings, store, replica, cancellations)
