--- a/src/passrock/admission/__init__.py
+++ b/src/passrock/admission/__init__.py
@@ -1,4 +1,6 @@
-"""Fair admission under overload: admission by slots that the leader decides, and dispatch that lets no class starve.
+"""Fair admission under overload, and prevention of starvation.
 
-Switched on by an ``admission`` block in the operators' settings; nothing of this package is loaded otherwise.
+The leader divides the capacity for submissions slot by slot between flows and controllers, and prioritizes classes
+that have had no start for long. An ``admission`` block in the operators' settings switches this on; without it,
+nothing of this package is loaded.
 """
--- a/src/passrock/admission/controller/__init__.py
+++ b/src/passrock/admission/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of admission that join its decisions to a controller."""
+"""Integration of admission with the controller: store, peers, scheduler and submissions."""
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -1,4 +1,4 @@
-"""The leader's part: decides each slot's allocation ahead, and commits it once."""
+"""Allocates slots on the leader: decides the allocation of each slot ahead of time and commits it once."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from passrock.settings import Settings
 from passrock.wire.store import Delete, Put, Write
 
-DECIDE_AT = 0.5  # of a slot: from then on the next one is decided
-TOO_LATE = 0.9  # of a slot without an allocation: from then on it isn't worth one
-PACING_TARGET = 2.0  # heartbeat intervals: a task's start waits for a heartbeat of its machine anyway
-TICKS = 16  # in a slot, between looks whether one has to be decided
-SETTLED_AFTER = 2  # slots: by then everything admitted in a slot is in the replica of the store
+DECISION_START_FRACTION = 0.5  # elapsed part of a slot from which on the next slot is decided
+LATEST_DECISION_FRACTION = 0.9  # elapsed part of a slot after which an allocation for it is no longer useful
+PACING_TARGET_HEARTBEATS = 2.0  # acceptable write delay; a task's start waits for its machine's heartbeat anyway
+CHECKS_PER_SLOT = 16  # how often the leader checks whether a slot has to be decided
+SETTLEMENT_DELAY_SLOTS = 2  # after this many slots, the replica contains every job admitted in a slot
 
 
 class SlotAllocator:
-    """Decides slots while this node leads."""
+    """Decides and commits the allocations of slots while this node leads."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         allocations: AllocationStore,
         outcomes: SlotOutcomes,
         own_demand: Callable[[], DemandReport],
-        write_delay: Callable[[], float],
+        write_delay_s: Callable[[], float],
     ) -> None:
         self.settings = settings
         self.admission = admission
@@ -52,120 +52,131 @@
         self.allocations = allocations
         self.outcomes = outcomes
         self.own_demand = own_demand
-        self.write_delay = write_delay
-        self.pacer = RatePacer(settings.report_s * PACING_TARGET)
+        self.write_delay_s = write_delay_s
+        self.pacer = RatePacer(settings.report_s * PACING_TARGET_HEARTBEATS)
         self.clock = outcomes.clock
         self.demand = outcomes.demand
-        self.watch = outcomes.dispatch.watch
+        self.start_tracker = outcomes.dispatch.start_tracker
         self.shares = CapacityShares(admission.interactive_share, admission.burst_share, admission.interactive_most)
-        self._resumed = False
-        self._last_sent = -math.inf  # the last slot of which a record was sent
+        self._restored = False
+        self._last_sent_slot = -math.inf  # the last slot for which this leader sent a transaction
 
     async def run(self) -> None:
-        """Decide for ever; a decision that fails is taken up again at the next look."""
+        """Decide slots as they become due; a decision that fails is retried at the next check.
+
+        No failure ends the term, since a leader that cannot allocate slots can still place tasks.
+        """
         while True:
-            slot = self.due()
+            slot = self.due_slot()
             if slot is not None and self.leadership.holds_lease():
                 try:
                     await self.decide(slot)
-                except StoreError as problem:
-                    debug("allocation_failed", slot=slot, error=problem)
-                except Exception as problem:  # noqa: BLE001 - admission must never end the term of a leader that can place
-                    error("allocation_failed", slot=slot, error=repr(problem))
-            await asyncio.sleep(self.clock.length_s / TICKS)
-
-    def due(self) -> int | None:
-        """The slot that has to be decided now, if any."""
-        now = time_of_day()
-        slot = self.clock.number(now)
-        elapsed = self.clock.elapsed(now)
+                except StoreError as exc:
+                    debug("allocation_failed", slot=slot, error=exc)
+                except Exception as exc:  # noqa: BLE001 - a fault of admission must not end the term
+                    error("allocation_failed", slot=slot, error=repr(exc))
+            await asyncio.sleep(self.clock.length_s / CHECKS_PER_SLOT)
+
+    def due_slot(self) -> int | None:
+        """Return the slot that has to be decided now, if any."""
+        wall_clock_now = time_of_day()
+        slot = self.clock.slot_at(wall_clock_now)
+        elapsed = self.clock.elapsed_fraction(wall_clock_now)
         latest = self.allocations.latest()
-        if elapsed >= (TOO_LATE if latest is None or latest.allocation.slot < slot else DECIDE_AT):
+        if elapsed >= (
+            LATEST_DECISION_FRACTION if latest is None or latest.allocation.slot < slot else DECISION_START_FRACTION
+        ):
             slot += 1
         if latest is None:
-            # Without a record before it, a transaction that is applied late could write a slot again after its record
-            # was deleted. So no slot is sent twice; with one before it, that one's deletion makes it fail.
-            return slot if slot > self._last_sent else None
+            # A transaction may be applied late, when the slot's record has already been deleted. If it is
+            # conditional on the record of an earlier slot, it fails then, since that record is deleted too. Without
+            # such a condition it would write the slot again, so no slot is sent twice.
+            return slot if slot > self._last_sent_slot else None
         return slot if latest.allocation.slot < slot else None
 
     async def decide(self, slot: int) -> None:
-        """Allocate a slot and commit it, unless any leader has done so before: what is committed stays."""
+        """Allocate a slot and commit it; the commit fails if the slot has an allocation, which is never replaced."""
         latest = self.allocations.latest()
-        if latest is not None and not self._resumed:
+        if latest is not None and not self._restored:
             self.pacer.share = latest.allocation.pacing_share
-            self.watch.resume(latest.allocation.started)
-            self.demand.learn_incarnations(
+            self.start_tracker.restore(latest.allocation.last_start_at)
+            self.demand.restore_incarnations(
                 (node, grant.incarnation) for node, grant in latest.allocation.node_grants.items()
             )
-        self._resumed = True
-        self.pacer.record_delay(self.write_delay())
+        self._restored = True
+        self.pacer.record_delay(self.write_delay_s())
         self.demand.update(self.own_demand(), self.leadership.term, monotonic_time())
-        over = self.allocations.up_to(slot - SETTLED_AFTER)
-        allocation = self._allocate(slot, latest, over)
+        ended = self.allocations.up_to(slot - SETTLEMENT_DELAY_SLOTS)
+        allocation = self._allocate(slot, latest, ended)
         conditions = {keys.LEADER: self.leadership.leader_revision}
         if latest is not None:
             conditions[keys.allocation(latest.allocation.slot, 0)] = latest.mod_revision
         writes: list[Write] = []
-        pages = self._pages(allocation)
+        pages = self._encode_pages(allocation)
         for page, value in enumerate(pages):
             conditions[keys.allocation(slot, page)] = 0
             writes.append(Put(keys.allocation(slot, page), value))
-        self._last_sent = slot
-        writes += self._deletions(over, self.settings.txn_ops - len(writes))
+        self._last_sent_slot = slot
+        writes += self._deletions(ended, self.settings.txn_ops - len(writes))
         result = await self.store.commit(conditions, writes)
         if isinstance(result, Committed):
             self.allocations.put(allocation, result.revision, len(pages))
         else:
             debug("allocation_conflict", slot=slot, failed=result.conflicting_keys)
 
-    def _allocate(self, slot: int, latest: StoredAllocation | None, over: list[StoredAllocation]) -> Allocation:
-        """What the controllers may admit in a slot, with the service that flows have received."""
+    def _allocate(self, slot: int, latest: StoredAllocation | None, ended: list[StoredAllocation]) -> Allocation:
+        """Return the allocation of a slot, from the reported demand and the service that flows have received."""
         demand = self.demand.demand(monotonic_time())
-        service = ReceivedService() if latest is None else self.outcomes.settle(latest, over)
-        self.outcomes.note_wanted(slot, demand.values())
+        service = ReceivedService() if latest is None else self.outcomes.settle(latest, ended)
+        self.outcomes.record_demand(slot, demand.values())
         incarnations = self.demand.incarnations()
         capacity = self._capacity(slot, sorted(incarnations))
         node_grants = FairShareAllocator(capacity, demand, service, self.outcomes.weights, self.shares).run()
         for node, grant in node_grants.items():
             grant.incarnation = incarnations[node]
         node, term = self.settings.node, self.leadership.term
-        settled, started = slot - SETTLED_AFTER, dict(self.watch.started)
-        return Allocation(slot, term, node, node_grants, service, settled, started, self.pacer.share)
+        settled_through, last_start_at = slot - SETTLEMENT_DELAY_SLOTS, dict(self.start_tracker.last_start_at)
+        return Allocation(slot, term, node, node_grants, service, settled_through, last_start_at, self.pacer.share)
 
     def _capacity(self, slot: int, nodes: list[str]) -> dict[str, int]:
-        """How many submissions each controller's part of the store's write rate carries in the slot, or its rest."""
+        """Return how many submissions each controller can write in the slot, or in the remaining part of it.
+
+        Each controller has a share of the store's write rate, of which submissions may use a configured part.
+        """
         wall_clock_now = time_of_day()
-        rest = 1.0 - self.clock.elapsed(wall_clock_now) if self.clock.number(wall_clock_now) == slot else 1.0
-        writes = self.settings.state_write_rps * self.clock.length_s * rest * self.pacer.share
+        remaining_fraction = (
+            1.0 - self.clock.elapsed_fraction(wall_clock_now) if self.clock.slot_at(wall_clock_now) == slot else 1.0
+        )
+        writes = self.settings.state_write_rps * self.clock.length_s * remaining_fraction * self.pacer.share
         count = self.settings.nodes
         follower = writes * rate_share(leading=False, nodes=count) * self.admission.intake_share
         leader = writes * rate_share(leading=True, nodes=count) * self.admission.leader_intake_share
         return {node: max(1, math.floor(leader if node == self.settings.node else follower)) for node in nodes}
 
-    def _pages(self, allocation: Allocation) -> list[dict[str, Any]]:
-        """The record's pages, with half of its rows left out for as long as no transaction could hold it."""
+    def _encode_pages(self, allocation: Allocation) -> list[dict[str, Any]]:
+        """Return the record's pages; rows are dropped by halves until the pages fit into a transaction."""
         while True:
             pages = encode_allocation(allocation, self.settings.value_bytes)
             if len(pages) <= max(1, self.settings.txn_ops // 2):
                 return pages
-            shorten(allocation)
+            halve_rows(allocation)
 
-    def _deletions(self, over: list[StoredAllocation], limit: int) -> list[Write]:
-        """Records that nobody may admit against any more, oldest first and each as a whole."""
+    def _deletions(self, ended: list[StoredAllocation], limit: int) -> list[Write]:
+        """Return deletions of the records of ended slots, oldest first, and of all pages of a record or none."""
         deletions: list[Write] = []
-        for stored in over:
+        for stored in ended:
             if len(deletions) + stored.pages > limit:
-                break  # the rest goes with the next slot
+                break  # the others are deleted with the next slot
             deletions += [Delete(keys.allocation(stored.allocation.slot, page)) for page in range(stored.pages)]
         return deletions
 
 
-def shorten(allocation: Allocation) -> None:
-    """Leave out half of an allocation's rows; grants that are left out go to the common reserve."""
+def halve_rows(allocation: Allocation) -> None:
+    """Drop half of an allocation's rows; the units of dropped grants are added to the shared reserve."""
     service = sorted(allocation.service.flows.items(), key=lambda row: -row[1])
     allocation.service.flows = dict(service[: len(service) // 2])
-    started = sorted(allocation.started.items(), key=lambda row: row[1])
-    allocation.started = dict(started[: len(started) // 2])
+    last_start_at = sorted(allocation.last_start_at.items(), key=lambda row: row[1])
+    allocation.last_start_at = dict(last_start_at[: len(last_start_at) // 2])
     for grant in allocation.node_grants.values():
         grants = list(grant.flows.items())
         grant.flows = dict(grants[: len(grants) // 2])
--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -1,4 +1,4 @@
-"""Admission on one controller: decisions on submissions, demand told to peers, the leader's part while it leads."""
+"""Fair admission on one controller: decides on submissions, reports demand to peers, allocates slots as leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
-from passrock.admission.controller.dispatch import Dispatch
+from passrock.admission.controller.dispatch import DispatchPrioritizer
 from passrock.admission.controller.outcomes import SlotOutcomes
 from passrock.admission.controller.submission_admitter import SubmissionAdmitter
 from passrock.admission.core.admitted import AdmittedJobs
@@ -18,7 +18,7 @@
 from passrock.admission.core.flows import Flow, Weights
 from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
-from passrock.admission.core.starvation import StartWatch
+from passrock.admission.core.starvation import StartTracker
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.demand_message import MalformedDemandError, decode_demand, encode_demand
 from passrock.controller import keys
@@ -38,14 +38,14 @@
 if TYPE_CHECKING:
     from passrock.admission.io.decision_log import DecisionLog
 
-NAME = "admission"
-DEMAND_KEPT_SLOTS = 2.0
-MALFORMED_LOG_INTERVAL_S = 10.0  # a log line on malformed reports at most this often
-MESSAGE_INTERVAL_RATIO = 0.3  # of the heartbeat interval, between two messages to the peers
+EXTENSION_NAME = "admission"
+MAX_DEMAND_AGE_SLOTS = 2.0  # older demand reports are ignored
+MALFORMED_REPORT_LOG_INTERVAL_S = 10.0  # least time between two log lines on malformed demand reports
+DEMAND_MESSAGE_INTERVAL_HEARTBEATS = 0.3  # least age of an encoded demand report before it is replaced
 
 
 class AdmissionControl:
-    """Everything of admission that lives as long as the process."""
+    """Admission on this controller, for the lifetime of the process and across terms."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         peers: PeerTable,
         rng: random.Random,
     ) -> None:
-        self.name = NAME
+        self.name = EXTENSION_NAME
         self.settings = settings
         self.admission = admission
         self.store = store
@@ -76,102 +76,113 @@
         self.allocations = AllocationStore(lambda: replica.entries, on_allocation=self.grants.add)
         self.admitter = SubmissionAdmitter(self.clock, self.grants, self.allocations, self.weights, rng)
         self.admitted = AdmittedJobs()
-        self.demand = DemandTable(DEMAND_KEPT_SLOTS * self.clock.length_s)
-        self.dispatch: Dispatch | None = None  # of the latest term that this node led
-        self._deciding: asyncio.Task[None] | None = None
+        self.demand = DemandTable(MAX_DEMAND_AGE_SLOTS * self.clock.length_s)
+        self.dispatch: DispatchPrioritizer | None = None  # of the latest term in which this node led
+        self._allocator_task: asyncio.Task[None] | None = None
         self._started_ms = int(time_of_day() * 1000)
         self._report: DemandReport | None = None
-        self._message_made_at = -math.inf
+        self._message_encoded_at = -math.inf
         self._message = b""
-        self._reports = 0
+        self._last_sequence_number = 0
         self._malformed_logged_at = -math.inf
-        replica.subscribe(self._changed)
-        self.log = self._open_log()
+        replica.subscribe(self._on_change)
+        self.decision_log = self._open_decision_log()
 
-    def _open_log(self) -> DecisionLog | None:
+    def _open_decision_log(self) -> DecisionLog | None:
         if not self.admission.log_dir:
             return None
-        from passrock.admission.io.decision_log import DecisionLog  # not loaded where no log is kept
+        from passrock.admission.io.decision_log import DecisionLog  # not loaded unless a log is written
 
         return DecisionLog(self.admission.log_dir, int(self.admission.log_mb * 1e6), self._started_ms)
 
     # -- the replica of the store ------------------------------------------------------------------------
 
-    def _changed(self, key: str, entry: Entry | None) -> None:
+    def _on_change(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.ALLOCATION):
             self.allocations.on_change(key, entry)
         elif key.startswith(keys.JOB) and entry is not None:
-            self._accepted(key[len(keys.JOB) :], entry)
+            self._on_job_record(key[len(keys.JOB) :], entry)
 
-    def _accepted(self, job_id: str, entry: Entry) -> None:
-        """A job's record: whichever controller accepted it, its user will not come again here."""
-        self.admitter.demand.accepted_anywhere(job_id)
+    def _on_job_record(self, job_id: str, entry: Entry) -> None:
+        """Process a job record: its submission will not be retried, and its grant reference counts as admitted."""
+        self.admitter.demand.record_accepted(job_id)
         reference = entry.value.get(GRANT_REFERENCE)
         if isinstance(reference, list) and reference and isinstance(reference[0], int):
             spec = entry.value["s"]
-            self.admitted.note(job_id, Flow(spec["t"], spec["c"]), reference[0])
+            self.admitted.record(job_id, Flow(spec["t"], spec["c"]), reference[0])
 
     # -- submissions ---------------------------------------------------------------------------------------
 
     def decide(self, spec: JobSpec) -> AdmissionToken | Refusal | None:
-        """A token for the submission or a refusal; None where nobody decides slots."""
-        return self.admitter.decide(spec) if self._in_force() else None
+        """Return an admission token or a refusal, or None while no leader allocates slots."""
+        return self.admitter.decide(spec) if self._is_in_force() else None
 
     def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
-        """A request with an admission token is over."""
+        """Release the admission of a request that has ended; see ``SubmissionAdmitter.request_finished``."""
         self.admitter.request_finished(spec, unused=unused)
 
-    def _in_force(self) -> bool:
-        """Whether slots are decided: not while the leader, as it says itself, does not know of them."""
+    def _is_in_force(self) -> bool:
+        """Whether slots are allocated: false while the leader's heartbeat has no admission extension.
+
+        Such a leader runs with admission switched off. Without any known leader, admission stays in force.
+        """
         if self.leadership.leading:
             return True
         heartbeats = self.peers.heartbeats(monotonic_time() - self.leadership.lease_ttl_s)
-        leading = [heartbeat for heartbeat in heartbeats if heartbeat.leading]
-        if not leading:
+        leader_heartbeats = [heartbeat for heartbeat in heartbeats if heartbeat.leading]
+        if not leader_heartbeats:
             return True
-        return max(leading, key=lambda heartbeat: heartbeat.term).extension(NAME) is not None
+        return max(leader_heartbeats, key=lambda heartbeat: heartbeat.term).extension(EXTENSION_NAME) is not None
 
     # -- the peers -----------------------------------------------------------------------------------------
 
-    def report(self) -> DemandReport:
-        """This controller's demand as of now."""
-        now = time_of_day()
-        flows = self.admitter.demand.demand(self.clock.number(now), now)
-        self._reports += 1
+    def demand_report(self) -> DemandReport:
+        """Return this controller's present demand."""
+        wall_clock_now = time_of_day()
+        flows = self.admitter.demand.demand(self.clock.slot_at(wall_clock_now), wall_clock_now)
+        self._last_sequence_number += 1
         return DemandReport(
-            self.settings.node, self.incarnation, self._started_ms, self._reports, self.leadership.known_term, flows
+            self.settings.node,
+            self.incarnation,
+            self._started_ms,
+            self._last_sequence_number,
+            self.leadership.known_term,
+            flows,
         )
 
     def outgoing(self) -> bytes:
-        """The demand for the peers, made anew at intervals."""
+        """Return the encoded demand report for the peers, which is renewed at intervals."""
         now = monotonic_time()
-        if now - self._message_made_at >= self.settings.report_s * MESSAGE_INTERVAL_RATIO or not self._message:
-            self._message_made_at = now
-            self._message = encode_demand(self.report())
+        if (
+            now - self._message_encoded_at >= self.settings.report_s * DEMAND_MESSAGE_INTERVAL_HEARTBEATS
+            or not self._message
+        ):
+            self._message_encoded_at = now
+            self._message = encode_demand(self.demand_report())
         return self._message
 
     def received(self, node: str, data: bytes) -> None:
-        """A peer's demand; one that can't be read counts as none."""
+        """Store a peer's demand report; a malformed one is logged and ignored."""
         try:
             report = decode_demand(node, data)
-        except MalformedDemandError as problem:
+        except MalformedDemandError as exc:
             now = monotonic_time()
-            if now - self._malformed_logged_at >= MALFORMED_LOG_INTERVAL_S:
+            if now - self._malformed_logged_at >= MALFORMED_REPORT_LOG_INTERVAL_S:
                 self._malformed_logged_at = now
-                info("demand_report_malformed", node=node, error=problem)
+                info("demand_report_malformed", node=node, error=exc)
             return
         self.demand.update(report, self.leadership.known_term, monotonic_time())
 
     # -- leading ---------------------------------------------------------------------------------------------
 
-    def lead(self, term: LeaderTerm) -> None:
-        """This node leads from now on."""
+    def start_leading(self, term: LeaderTerm) -> None:
+        """Start to allocate slots and to prioritize jobs for a new term of this node."""
         admission = self.admission
-        watch = StartWatch(admission.window_s * admission.favour_ratio)
-        dispatch = Dispatch(
-            watch, admission.window_s, admission.window_s * admission.protect_ratio, self.settings.report_s
+        start_tracker = StartTracker(admission.window_s * admission.favour_ratio)
+        dispatch = DispatchPrioritizer(
+            start_tracker, admission.window_s, admission.window_s * admission.protect_ratio, self.settings.report_s
         )
-        outcomes = SlotOutcomes(self.clock, self.weights, self.admitted, self.demand, dispatch, self._keep_decision)
+        outcomes = SlotOutcomes(self.clock, self.weights, self.admitted, self.demand, dispatch, self._record_decision)
         allocator = SlotAllocator(
             self.settings,
             admission,
@@ -179,26 +190,26 @@
             self.leadership,
             self.allocations,
             outcomes,
-            self.report,
+            self.demand_report,
             term.commit_queue.estimated_delay_s,
         )
-        term.evaluation_loop.subscribe(dispatch.evaluated)
+        term.evaluation_loop.subscribe(dispatch.on_pass_completed)
         self.dispatch = dispatch
-        self._deciding = asyncio.create_task(self._decide(term, allocator))
+        self._allocator_task = asyncio.create_task(self._run_allocator(term, allocator))
 
-    def _keep_decision(self, decision: Decision) -> None:
-        if self.log is not None:
-            self.log.add(decision)
+    def _record_decision(self, decision: Decision) -> None:
+        if self.decision_log is not None:
+            self.decision_log.add(decision)
 
-    def lead_no_longer(self) -> None:
-        """The term is over: nothing of it is decided any more."""
-        if self._deciding is not None:
-            self._deciding.cancel()
-            self._deciding = None
-        if self.log is not None:
-            self.log.flush()
+    def stop_leading(self) -> None:
+        """Stop allocating slots at the end of a term, and flush the decision log."""
+        if self._allocator_task is not None:
+            self._allocator_task.cancel()
+            self._allocator_task = None
+        if self.decision_log is not None:
+            self.decision_log.flush()
 
-    async def _decide(self, term: LeaderTerm, allocator: SlotAllocator) -> None:
+    async def _run_allocator(self, term: LeaderTerm, allocator: SlotAllocator) -> None:
         while not term.ready:
             await asyncio.sleep(self.settings.report_s / 10)
         await allocator.run()
--- a/src/passrock/admission/controller/outcomes.py
+++ b/src/passrock/admission/controller/outcomes.py
@@ -1,11 +1,11 @@
-"""What became of a slot: service is charged for what was admitted, and the decision log gets it."""
+"""Settles ended slots: corrects the service received to what was admitted, and emits the decisions for the log."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
 from passrock.admission.controller.allocation_store import StoredAllocation
-from passrock.admission.controller.dispatch import Dispatch
+from passrock.admission.controller.dispatch import DispatchPrioritizer
 from passrock.admission.core.admitted import AdmittedJobs
 from passrock.admission.core.allocation import ReceivedService
 from passrock.admission.core.decision import Decision, FlowOutcome
@@ -17,7 +17,7 @@
 
 
 class SlotOutcomes:
-    """Settles slots that are over."""
+    """Settles slots that have ended, and emits their outcomes."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         weights: Weights,
         admitted: AdmittedJobs,
         demand: DemandTable,
-        dispatch: Dispatch,
+        dispatch: DispatchPrioritizer,
         on_decision: Callable[[Decision], None],
     ) -> None:
         self.clock = clock
@@ -34,23 +34,23 @@
         self.demand = demand
         self.dispatch = dispatch
         self.on_decision = on_decision
-        self._wanted: dict[int, dict[Flow, FlowDemand]] = {}  # by slot, when this leader allocated it
+        self._demand_by_slot: dict[int, dict[Flow, FlowDemand]] = {}  # at the time of the slot's allocation
 
-    def note_wanted(self, slot: int, demand: Iterable[dict[Flow, FlowDemand]]) -> None:
-        """What the controllers asked for when a slot was allocated."""
-        self._wanted[slot] = _sum_of(demand)
+    def record_demand(self, slot: int, demand: Iterable[dict[Flow, FlowDemand]]) -> None:
+        """Record the demand at the controllers on which the allocation of a slot is based."""
+        self._demand_by_slot[slot] = _sum_by_flow(demand)
 
-    def settle(self, latest: StoredAllocation, over: list[StoredAllocation]) -> ReceivedService:
-        """The service received, counting what was admitted and not what was granted in slots that are over."""
-        before = latest.allocation
-        service = ReceivedService(dict(before.service.teams), dict(before.service.flows))
-        for stored in over:
-            if stored.allocation.slot > before.settled:
+    def settle(self, latest: StoredAllocation, ended: list[StoredAllocation]) -> ReceivedService:
+        """Return the service received, counting admitted instead of granted submissions in slots that have ended."""
+        previous = latest.allocation
+        service = ReceivedService(dict(previous.service.teams), dict(previous.service.flows))
+        for stored in ended:
+            if stored.allocation.slot > previous.settled_through:
                 self._settle(stored, service)
         return service
 
     def _settle(self, stored: StoredAllocation, service: ReceivedService) -> None:
-        admitted = self.admitted.of(stored.allocation.slot)
+        admitted = self.admitted.counts(stored.allocation.slot)
         for flow in {*stored.granted, *admitted}:
             service.charge(flow, admitted.get(flow, 0) - stored.granted.get(flow, 0), self.weights)
         decision = self._decision(stored, admitted)
@@ -59,52 +59,52 @@
 
     def _decision(self, stored: StoredAllocation, admitted: dict[Flow, int]) -> Decision:
         allocation = stored.allocation
-        wanted = self._wanted.pop(allocation.slot, {})
-        reported = _sum_of(self.demand.demand(monotonic_time()).values())
+        allocated_for = self._demand_by_slot.pop(allocation.slot, {})
+        reported = _sum_by_flow(self.demand.demand(monotonic_time()).values())
         waits = {wait.flow: wait for wait in self.dispatch.waits}
-        starts = self.dispatch.take_starts()
-        refused = {flow: one.refused for flow, one in reported.items() if one.refused}
+        start_counts = self.dispatch.take_start_counts()
+        refused = {flow: demand.refused for flow, demand in reported.items() if demand.refused}
         wall_clock_now = time_of_day()
         outcomes = []
-        for flow in sorted({*wanted, *stored.granted, *admitted, *refused, *waits, *starts}):
+        for flow in sorted({*allocated_for, *stored.granted, *admitted, *refused, *waits, *start_counts}):
             wait = waits.get(flow)
             outcomes.append(
                 FlowOutcome(
                     flow.team,
                     flow.job_class,
-                    wanted[flow].wanted if flow in wanted else 0,
+                    allocated_for[flow].wanted if flow in allocated_for else 0,
                     stored.granted.get(flow, 0),
                     admitted.get(flow, 0),
                     refused.get(flow, 0),
-                    starts.get(flow, 0),
-                    wait.jobs if wait is not None else 0,
-                    max(0.0, wall_clock_now - wait.since) if wait is not None else 0.0,
+                    start_counts.get(flow, 0),
+                    wait.job_count if wait is not None else 0,
+                    max(0.0, wall_clock_now - wait.waiting_since) if wait is not None else 0.0,
                     wait.obstacle.value if wait is not None else "",
                 )
             )
-        began_at = self.clock.start(allocation.slot)
+        started_at = self.clock.start_of(allocation.slot)
         return Decision(
-            allocation.slot, began_at, allocation.term, allocation.leader, allocation.capacity, tuple(outcomes)
+            allocation.slot, started_at, allocation.term, allocation.leader, allocation.capacity, tuple(outcomes)
         )
 
 
-def _sum_of(demands: Iterable[dict[Flow, FlowDemand]]) -> dict[Flow, FlowDemand]:
-    """The demand of several controllers."""
+def _sum_by_flow(demands: Iterable[dict[Flow, FlowDemand]]) -> dict[Flow, FlowDemand]:
+    """Return the demand at several controllers, summed by flow."""
     total: dict[Flow, FlowDemand] = {}
     for demand in demands:
-        for flow, one in demand.items():
+        for flow, flow_demand in demand.items():
             known = total.get(flow, FlowDemand())
             total[flow] = FlowDemand(
-                known.waiting + one.waiting,
-                known.arriving + one.arriving,
-                known.refused + one.refused,
-                max(known.oldest_s, one.oldest_s),
+                known.waiting + flow_demand.waiting,
+                known.arriving + flow_demand.arriving,
+                known.refused + flow_demand.refused,
+                max(known.oldest_age_s, flow_demand.oldest_age_s),
             )
     return total
 
 
 def _log_decision(decision: Decision) -> None:
-    """The metric of a slot: a line at ``info`` when something was refused, else at ``debug``."""
+    """Log the outcome of a slot: at ``info`` if submissions were refused, else at ``debug``."""
     refused = sum(flow.refused for flow in decision.flows)
     log = info if refused else debug
     log(
--- a/src/passrock/admission/controller/submission_admitter.py
+++ b/src/passrock/admission/controller/submission_admitter.py
@@ -1,4 +1,4 @@
-"""Admission on one controller: which submissions are admitted, by the grants of the present slot."""
+"""Admission of submissions on one controller, against its grants in the current slot."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from passrock.admission.controller.allocation_store import AllocationStore
-from passrock.admission.core.allocation import SMALL_FLOW
+from passrock.admission.core.allocation import SMALL_FLOW_SUBMISSIONS
 from passrock.admission.core.demand import DemandCounter
 from passrock.admission.core.flows import Flow, Weights
 from passrock.admission.core.grants import ConsumedGrant, GrantLedger
@@ -20,20 +20,20 @@
 from passrock.core.records import AdmissionToken
 from passrock.io.clock import time_of_day
 
-SLOTS_TO_RETURN = 2  # after the time that a user was told: by then it has come again or given up
+RETRY_GRACE_SLOTS = 2  # after the retry time given to a user, until no retry is expected any more
 
 
 class PendingAdmission(msgspec.Struct):
-    """A submission on its way to the store, and how many requests wait for it."""
+    """A submission that is being written to the store, and the number of requests that wait for it."""
 
     admission_token: AdmissionToken
     consumed_grant: ConsumedGrant
     requests: int
-    used: bool = False  # by a request that was accepted, or of which nobody knows
+    used: bool = False  # a request was accepted, or its outcome is unknown
 
 
 class SubmissionAdmitter:
-    """Admits submissions against grants, each job once, and counts the others as demand."""
+    """Admits submissions against grants, with one grant per job, and counts demand."""
 
     def __init__(
         self,
@@ -52,20 +52,20 @@
         self._in_progress: dict[str, PendingAdmission] = {}
 
     def decide(self, spec: JobSpec) -> AdmissionToken | Refusal:
-        """Admit a submission of a job that isn't known, or say when to come back."""
-        known = self._in_progress.get(spec.id)
-        if known is not None:  # a retry that meets the first attempt: one acceptance, one unit
-            known.requests += 1
-            return known.admission_token
-        now = time_of_day()
-        slot = self.clock.number(now)
+        """Return an admission token for a submission of an unknown job, or a refusal with the time until a retry."""
+        pending = self._in_progress.get(spec.id)
+        if pending is not None:  # a retry while the first request is in progress: both share one unit
+            pending.requests += 1
+            return pending.admission_token
+        wall_clock_now = time_of_day()
+        slot = self.clock.slot_at(wall_clock_now)
         flow = Flow(spec.team, spec.job_class)
         stored = self.allocations.get(slot)
         if stored is None:
-            return self._refuse(spec.id, flow, slot, now)
+            return self._refuse(spec.id, flow, slot, wall_clock_now)
         consumed = self.grants.consume(slot, flow, interactive=self.weights.is_interactive(flow))
         if consumed is None:
-            return self._refuse(spec.id, flow, slot, now)
+            return self._refuse(spec.id, flow, slot, wall_clock_now)
         self.demand.record_admitted(spec.id, flow, slot)
         admission_token = AdmissionToken(
             keys.allocation(slot, 0), stored.mod_revision, [slot, self.grants.incarnation]
@@ -74,7 +74,10 @@
         return admission_token
 
     def request_finished(self, spec: JobSpec, *, unused: bool) -> None:
-        """A request with an admission token is over; ``unused`` when it is certain that it accepted nothing."""
+        """End a request with an admission token; ``unused`` if it is certain that it led to no acceptance.
+
+        When the last request for the job has ended, the grant is restored if all of them were unused.
+        """
         pending = self._in_progress.get(spec.id)
         if pending is None:
             return
@@ -86,21 +89,21 @@
         if not pending.used:
             self.grants.restore(pending.consumed_grant)
 
-    def _refuse(self, job_id: str, flow: Flow, slot: int, now: float) -> Refusal:
-        wait = self._retry_after_s(flow, slot, now)
-        until = now + wait + SLOTS_TO_RETURN * self.clock.length_s
-        self.demand.record_refused(job_id, flow, slot, now, until)
-        return Refusal(wait)
+    def _refuse(self, job_id: str, flow: Flow, slot: int, wall_clock_now: float) -> Refusal:
+        retry_after_s = self._estimate_retry_after_s(flow, slot, wall_clock_now)
+        retry_by = wall_clock_now + retry_after_s + RETRY_GRACE_SLOTS * self.clock.length_s
+        self.demand.record_refused(job_id, flow, slot, wall_clock_now, retry_by)
+        return Refusal(retry_after_s)
 
-    def _retry_after_s(self, flow: Flow, slot: int, now: float) -> int:
-        """When the flow's queue is likely to have come to this submission, at the rate of its present grant."""
-        following = self.clock.until(slot + 1, now)
+    def _estimate_retry_after_s(self, flow: Flow, slot: int, wall_clock_now: float) -> int:
+        """Estimate when the flow's waiting submissions will have been admitted, at the rate of its present grant."""
+        next_slot_in_s = self.clock.seconds_until(slot + 1, wall_clock_now)
         stored = self.allocations.get(slot)
         granted = 0 if stored is None else stored.granted.get(flow, 0)
-        waiting = self.demand.waiting(flow)
-        ahead = waiting / max(1, granted)
-        if self.weights.is_interactive(flow) or waiting <= SMALL_FLOW or ahead < 1.0:
-            return max(MIN_RETRY_AFTER_S, math.ceil(following))
-        wait = following + (ahead - self.rng.random()) * self.clock.length_s
-        # a user gives up after twice the most
-        return max(MIN_RETRY_AFTER_S, math.ceil(min(wait, MAX_RETRY_AFTER_S / 2)))
+        waiting = self.demand.waiting_count(flow)
+        slots_ahead = waiting / max(1, granted)
+        if self.weights.is_interactive(flow) or waiting <= SMALL_FLOW_SUBMISSIONS or slots_ahead < 1.0:
+            return max(MIN_RETRY_AFTER_S, math.ceil(next_slot_in_s))
+        retry_after_s = next_slot_in_s + (slots_ahead - self.rng.random()) * self.clock.length_s
+        # a user stops retrying after twice MAX_RETRY_AFTER_S
+        return max(MIN_RETRY_AFTER_S, math.ceil(min(retry_after_s, MAX_RETRY_AFTER_S / 2)))
--- a/src/passrock/admission/core/__init__.py
+++ b/src/passrock/admission/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of admission, without input or output."""
+"""The decision logic of admission, without input or output."""
--- a/src/passrock/admission/core/admitted.py
+++ b/src/passrock/admission/core/admitted.py
@@ -1,10 +1,10 @@
-"""What was admitted in each slot, read from the references to grants in the records of accepted jobs."""
+"""Numbers of jobs admitted in each slot, from the grant references in the records of accepted jobs."""
 
 from __future__ import annotations
 
 from passrock.admission.core.flows import Flow
 
-SLOTS_KEPT = 6
+RETAINED_SLOTS = 6
 
 
 class AdmittedJobs:
@@ -12,20 +12,20 @@
 
     def __init__(self) -> None:
         self._jobs: dict[int, set[str]] = {}
-        self._count: dict[int, dict[Flow, int]] = {}
+        self._counts: dict[int, dict[Flow, int]] = {}
 
-    def note(self, job_id: str, flow: Flow, slot: int) -> None:
-        """A job's first record names this slot. It may be shown more than once."""
+    def record(self, job_id: str, flow: Flow, slot: int) -> None:
+        """Count a job in the slot that its first record names; repeated calls for a job have no effect."""
         jobs = self._jobs.setdefault(slot, set())
         if job_id in jobs:
             return
         jobs.add(job_id)
-        count = self._count.setdefault(slot, {})
-        count[flow] = count.get(flow, 0) + 1
-        while len(self._jobs) > SLOTS_KEPT:
+        slot_counts = self._counts.setdefault(slot, {})
+        slot_counts[flow] = slot_counts.get(flow, 0) + 1
+        while len(self._jobs) > RETAINED_SLOTS:
             oldest = min(self._jobs)
-            del self._jobs[oldest], self._count[oldest]
+            del self._jobs[oldest], self._counts[oldest]
 
-    def of(self, slot: int) -> dict[Flow, int]:
-        """How many of each flow were admitted in a slot."""
-        return self._count.get(slot, {})
+    def counts(self, slot: int) -> dict[Flow, int]:
+        """Return the number of admitted jobs of each flow in a slot."""
+        return self._counts.get(slot, {})
--- a/src/passrock/admission/core/decision.py
+++ b/src/passrock/admission/core/decision.py
@@ -1,4 +1,4 @@
-"""What became of one slot, as the decision log keeps it."""
+"""The outcome of one slot, as it is written to the decision log."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class FlowOutcome(msgspec.Struct, frozen=True):
-    """One flow in one slot."""
+    """The outcome of one flow in one slot."""
 
     team: str
     job_class: str
-    wanted: int  # asked for when the slot was allocated
+    wanted: int  # demand when the slot was allocated
     granted: int
     admitted: int
-    refused: int  # answers that refused, as the controllers last reported
-    started: int  # tasks started while this slot's outcome was gathered
+    refused: int  # refusals, as the controllers last reported them
+    started: int  # tasks started since the previous slot's outcome was recorded
     waiting_jobs: int
-    waited_s: float  # without a start, at the end of the slot
-    obstacle: str  # what kept its waiting jobs from a start; empty when none wait
+    waited_s: float  # how long the flow had had no start when the outcome was recorded
+    obstacle: str  # value of Obstacle: why its waiting jobs were not started; empty if none were waiting
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """One slot with its flows."""
+    """The outcome of one slot."""
 
     slot: int
-    at: float  # time of day at which the slot began
+    at: float  # wall-clock time at which the slot began
     term: int
     leader: str
     capacity: int
--- a/src/passrock/admission/core/demand.py
+++ b/src/passrock/admission/core/demand.py
@@ -1,4 +1,4 @@
-"""What users ask for: counted by each controller, gathered by the leader."""
+"""Demand by flow: counted by each controller, and collected by the leader from demand reports."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 from passrock.admission.core.flows import Flow
 
-MAX_WAITING = 20_000  # refused submissions that one controller remembers
+MAX_DEFERRED_SUBMISSIONS = 20_000  # refused submissions that one controller keeps track of
 
 
 class FlowDemand(msgspec.Struct, frozen=True):
-    """What a flow asks of one controller."""
+    """The demand of a flow at one controller."""
 
-    waiting: int = 0  # submissions that were refused and will come again
-    arriving: int = 0  # new ones in a slot
-    refused: int = 0  # answers that refused, in the slot before
-    oldest_s: float = 0.0  # since the first refusal of the oldest that waits
+    waiting: int = 0  # submissions that were refused and are expected to be retried
+    arriving: int = 0  # new submissions per slot
+    refused: int = 0  # refusals in the previous slot
+    oldest_age_s: float = 0.0  # seconds since the first refusal of the oldest waiting submission
 
     @property
     def wanted(self) -> int:
-        """How many it could use in the next slot."""
+        """The number of grants that the flow could use in the next slot."""
         return self.waiting + self.arriving
 
 
 class DemandReport(msgspec.Struct, frozen=True):
-    """One controller's demand; a later one replaces it."""
+    """One controller's demand; a later report of the same controller replaces it."""
 
     node: str
     incarnation: int
-    started_ms: int  # the time of day at which this incarnation began: tells incarnations of a node apart by age
-    number: int
+    started_ms: int  # wall-clock start time of this incarnation, by which incarnations of a node are ordered
+    sequence_number: int
     term: int
     flows: dict[Flow, FlowDemand]
-    omitted_flows: int = 0  # flows that didn't fit into the message
+    omitted_flows: int = 0  # number of flows that did not fit into the message
 
     @property
-    def age_key(self) -> tuple[int, int]:
-        """Larger is newer, also across incarnations of the node."""
-        return self.started_ms, self.number
+    def recency_key(self) -> tuple[int, int]:
+        """A key that is larger for a newer report, also across incarnations of the node."""
+        return self.started_ms, self.sequence_number
 
 
 class DeferredSubmission(msgspec.Struct):
-    """A submission that was refused and may come again."""
+    """A submission that was refused and may be retried."""
 
     flow: Flow
-    since: float
-    until: float  # by then it has come again, or its user has given up
+    first_refused_at: float
+    retry_by: float  # if it has not been retried by then, its user has stopped retrying
 
 
 class DemandCounter:
-    """Counts one controller's submissions."""
+    """Counts one controller's submissions by flow. All times are wall-clock seconds since the epoch."""
 
     def __init__(self) -> None:
         self._waiting: OrderedDict[str, DeferredSubmission] = OrderedDict()
@@ -66,14 +66,14 @@
     def _advance_to(self, slot: int) -> None:
         if slot == self._slot:
             return
-        follows = slot == self._slot + 1
-        self._arrived_previous = self._arrived if follows else {}
-        self._refused_previous = self._refused if follows else {}
+        is_next_slot = slot == self._slot + 1
+        self._arrived_previous = self._arrived if is_next_slot else {}
+        self._refused_previous = self._refused if is_next_slot else {}
         self._arrived, self._refused = {}, {}
         self._slot = slot
 
     def _stop_waiting(self, job_id: str) -> bool:
-        """Expect a submission no longer; whether it was expected."""
+        """Stop expecting a retry of a submission; returns whether one was expected."""
         known = self._waiting.pop(job_id, None)
         if known is None:
             return False
@@ -83,57 +83,61 @@
         return True
 
     def record_admitted(self, job_id: str, flow: Flow, slot: int) -> None:
-        """A submission had a grant."""
+        """Count a submission that was admitted."""
         self._advance_to(slot)
         if not self._stop_waiting(job_id):
             self._arrived[flow] = self._arrived.get(flow, 0) + 1
 
-    def record_refused(self, job_id: str, flow: Flow, slot: int, now: float, until: float) -> None:
-        """A submission was refused; its user may come again by ``until``."""
+    def record_refused(self, job_id: str, flow: Flow, slot: int, wall_clock_now: float, retry_by: float) -> None:
+        """Count a submission that was refused and may be retried until ``retry_by``."""
         self._advance_to(slot)
         self._refused[flow] = self._refused.get(flow, 0) + 1
         known = self._waiting.get(job_id)
         if known is not None:
-            known.until = until
+            known.retry_by = retry_by
             self._waiting.move_to_end(job_id)
             return
         self._arrived[flow] = self._arrived.get(flow, 0) + 1
-        self._waiting[job_id] = DeferredSubmission(flow, now, until)
+        self._waiting[job_id] = DeferredSubmission(flow, wall_clock_now, retry_by)
         self._waiting_by_flow[flow] = self._waiting_by_flow.get(flow, 0) + 1
-        if len(self._waiting) > MAX_WAITING:
+        if len(self._waiting) > MAX_DEFERRED_SUBMISSIONS:
             self._stop_waiting(next(iter(self._waiting)))
 
-    def accepted_anywhere(self, job_id: str) -> None:
-        """Some controller has accepted the job: it will not come again here."""
+    def record_accepted(self, job_id: str) -> None:
+        """Expect no retry of a job that some controller has accepted."""
         self._stop_waiting(job_id)
 
-    def waiting(self, flow: Flow) -> int:
-        """How many of a flow wait to come again."""
+    def waiting_count(self, flow: Flow) -> int:
+        """Return how many submissions of a flow were refused and are expected to be retried."""
         return self._waiting_by_flow.get(flow, 0)
 
-    def demand(self, slot: int, now: float) -> dict[Flow, FlowDemand]:
-        """What each flow asks for, with those that were not heard of again left out."""
+    def demand(self, slot: int, wall_clock_now: float) -> dict[Flow, FlowDemand]:
+        """Return the demand of each flow, without submissions whose time for a retry has passed."""
         self._advance_to(slot)
-        for job_id in [job_id for job_id, one in self._waiting.items() if one.until < now]:
+        for job_id in [
+            job_id for job_id, submission in self._waiting.items() if submission.retry_by < wall_clock_now
+        ]:
             self._stop_waiting(job_id)
         waiting = self._waiting_by_flow
-        oldest: dict[Flow, float] = {}
-        for one in self._waiting.values():
-            oldest[one.flow] = max(oldest.get(one.flow, 0.0), now - one.since)
+        oldest_age_s: dict[Flow, float] = {}
+        for submission in self._waiting.values():
+            oldest_age_s[submission.flow] = max(
+                oldest_age_s.get(submission.flow, 0.0), wall_clock_now - submission.first_refused_at
+            )
         flows = {*waiting, *self._arrived, *self._arrived_previous, *self._refused, *self._refused_previous}
         return {
             flow: FlowDemand(
                 waiting.get(flow, 0),
                 max(self._arrived.get(flow, 0), self._arrived_previous.get(flow, 0)),
                 self._refused_previous.get(flow, 0),
-                oldest.get(flow, 0.0),
+                oldest_age_s.get(flow, 0.0),
             )
             for flow in flows
         }
 
 
 class DemandTable:
-    """The newest demand of each controller, as the leader knows it."""
+    """The newest demand report of each controller."""
 
     def __init__(self, max_age_s: float) -> None:
         self.max_age_s = max_age_s
@@ -141,25 +145,32 @@
         self._incarnations: dict[str, int] = {}
 
     def update(self, report: DemandReport, term: int, now: float) -> bool:
-        """Take in a report; False for one of an older term, a repeated one, or one that a newer one has overtaken."""
+        """Store a report, and return whether it was stored.
+
+        A report of an older term, a duplicate, and a report older than the stored one are dropped.
+        """
         if report.term < term:
             return False
         known = self._reports.get(report.node)
-        if known is not None and report.age_key <= known[0].age_key:
+        if known is not None and report.recency_key <= known[0].recency_key:
             return False
         self._reports[report.node] = (report, now)
         self._incarnations[report.node] = report.incarnation
         return True
 
     def incarnations(self) -> dict[str, int]:
-        """The last known incarnation of each controller."""
+        """Return the last known incarnation of each controller."""
         return dict(self._incarnations)
 
-    def learn_incarnations(self, incarnations: Iterable[tuple[str, int]]) -> None:
-        """Lives that an earlier leader knew; a report counts for more."""
+    def restore_incarnations(self, incarnations: Iterable[tuple[str, int]]) -> None:
+        """Add incarnations from an earlier leader's allocation; those from demand reports take precedence."""
         for node, incarnation in incarnations:
             self._incarnations.setdefault(node, incarnation)
 
     def demand(self, now: float) -> dict[str, dict[Flow, FlowDemand]]:
-        """Each controller's demand, as far as it was heard of lately."""
-        return {node: report.flows for node, (report, at) in self._reports.items() if now - at <= self.max_age_s}
+        """Return the demand of each controller whose last report is at most ``max_age_s`` old."""
+        return {
+            node: report.flows
+            for node, (report, received_at) in self._reports.items()
+            if now - received_at <= self.max_age_s
+        }
--- a/src/passrock/admission/core/flows.py
+++ b/src/passrock/admission/core/flows.py
@@ -1,4 +1,4 @@
-"""Flows, which share the capacity of admission, and their weights."""
+"""Flows, between which the capacity of admission is divided, and their weights."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from passrock.core.model import Team
 from passrock.core.objectives import Objective
 
-NO_GUARANTEE_RATIO = 0.25  # of the smallest guarantee: the weight of a team without any
+NO_GUARANTEE_RATIO = 0.25  # weight of a team without a guarantee, relative to the smallest guarantee
 DEFAULT_WEIGHT = 1.0
 
 
 class Flow(msgspec.Struct, frozen=True, order=True):
-    """The submissions of one class of a team."""
+    """The submissions of one job class of one team."""
 
     team: str
     job_class: str
 
 
 class Weights:
-    """What a team's and a class's part is in proportion to, and which classes are interactive."""
+    """The weights of teams and of classes within a team, and which classes are interactive."""
 
     def __init__(
         self,
@@ -31,31 +31,31 @@
         class_weights: Mapping[str, float],
         interactive_ratio: float,
     ) -> None:
-        self._teams = {**_guarantees(teams), **team_weights}
-        self._smallest_weight = min(self._teams.values(), default=DEFAULT_WEIGHT)
-        self._classes = dict(class_weights)
-        self._interactive = interactive_classes(objectives, interactive_ratio)
+        self._team_weights = {**_guarantee_weights(teams), **team_weights}
+        self._smallest_weight = min(self._team_weights.values(), default=DEFAULT_WEIGHT)
+        self._class_weights = dict(class_weights)
+        self._interactive_classes = interactive_classes(objectives, interactive_ratio)
 
-    def team(self, name: str) -> float:
-        """A team's weight; one that the settings no longer name counts like the smallest."""
-        return self._teams.get(name, self._smallest_weight)
+    def of_team(self, name: str) -> float:
+        """Return a team's weight; a team that the settings no longer name has the smallest of all weights."""
+        return self._team_weights.get(name, self._smallest_weight)
 
-    def job_class(self, name: str) -> float:
-        """The weight of a class among those of its team."""
-        return self._classes.get(name, DEFAULT_WEIGHT)
+    def of_class(self, name: str) -> float:
+        """Return the weight of a class relative to the other classes of its team."""
+        return self._class_weights.get(name, DEFAULT_WEIGHT)
 
     @property
     def any_interactive(self) -> bool:
-        """Whether any class is interactive, so that a reserve for them makes sense."""
-        return bool(self._interactive)
+        """Whether any class is interactive, so that capacity has to be reserved for interactive flows."""
+        return bool(self._interactive_classes)
 
     def is_interactive(self, flow: Flow) -> bool:
-        """Whether the flow's users wait for its jobs to begin."""
-        return flow.job_class in self._interactive
+        """Whether the flow's class is interactive: its users wait for their jobs to start."""
+        return flow.job_class in self._interactive_classes
 
 
-def _guarantees(teams: Mapping[str, Team]) -> dict[str, float]:
-    """Teams by guarantee: GPUs where any team has some guaranteed, CPUs otherwise."""
+def _guarantee_weights(teams: Mapping[str, Team]) -> dict[str, float]:
+    """Return weights in proportion to guarantees: of GPUs if any team has GPUs guaranteed, else of CPUs."""
     by_gpus = any(team.gpus > 0 for team in teams.values())
     amounts = {name: team.gpus if by_gpus else team.cpus for name, team in teams.items()}
     smallest = min((amount for amount in amounts.values() if amount > 0), default=None)
@@ -65,12 +65,12 @@
 
 
 def interactive_classes(objectives: Iterable[Objective], ratio: float) -> frozenset[str]:
-    """The classes whose shortest objective on waiting is up to ``ratio`` times the shortest of all."""
+    """Return the classes whose shortest waiting objective is at most ``ratio`` times the shortest of all."""
     shortest: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.job_class:
             shortest[objective.job_class] = min(
                 objective.within_s, shortest.get(objective.job_class, objective.within_s)
             )
-    longest = ratio * min(shortest.values(), default=0.0)
-    return frozenset(name for name, within in shortest.items() if within <= longest)
+    limit_s = ratio * min(shortest.values(), default=0.0)
+    return frozenset(name for name, within_s in shortest.items() if within_s <= limit_s)
--- a/src/passrock/admission/core/grants.py
+++ b/src/passrock/admission/core/grants.py
@@ -1,4 +1,4 @@
-"""One controller's grants: what it may still admit in each slot."""
+"""The remaining grants of one controller in each slot."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from passrock.admission.core.allocation import Allocation, NodeGrant
 from passrock.admission.core.flows import Flow
 
-SLOTS_KEPT = 4
+RETAINED_SLOTS = 4
 
 
 class GrantSource(Enum):
-    """Which part of a controller's grant a submission was admitted on."""
+    """The part of a controller's grant from which a unit was consumed."""
 
     FLOW = auto()
     INTERACTIVE = auto()
@@ -21,7 +21,7 @@
 
 
 class ConsumedGrant(msgspec.Struct, frozen=True):
-    """One unit that was consumed, so that it can be restored."""
+    """A consumed unit of a grant, with what is needed to restore it."""
 
     slot: int
     flow: Flow
@@ -29,7 +29,7 @@
 
 
 class GrantLedger:
-    """The grants of one incarnation of a controller, by slot. Each unit is consumed once."""
+    """The remaining grants of one incarnation of a controller, by slot. Each unit is consumed at most once."""
 
     def __init__(self, node: str, incarnation: int) -> None:
         self.node = node
@@ -37,16 +37,19 @@
         self._remaining: dict[int, NodeGrant] = {}
 
     def add(self, allocation: Allocation) -> None:
-        """Add this controller's grants in an allocation; the first one read for a slot is the only one there is."""
+        """Add this controller's grants in an allocation, unless the slot's grants have been added before.
+
+        A slot has only one committed allocation.
+        """
         if allocation.slot in self._remaining:
             return
         grant = allocation.node_grants.get(self.node)
         if grant is None or grant.incarnation != self.incarnation:
-            return  # meant for a former incarnation, which may still have submissions under way
+            return  # granted to a former incarnation, whose submissions may still reach the store
         self._remaining[allocation.slot] = NodeGrant(
             grant.incarnation, grant.interactive, grant.shared, dict(grant.flows)
         )
-        while len(self._remaining) > SLOTS_KEPT:
+        while len(self._remaining) > RETAINED_SLOTS:
             del self._remaining[min(self._remaining)]
 
     def has(self, slot: int) -> bool:
@@ -54,7 +57,10 @@
         return slot in self._remaining
 
     def consume(self, slot: int, flow: Flow, *, interactive: bool) -> ConsumedGrant | None:
-        """Consume one unit: the flow's own grant first, then the reserves that are open to it."""
+        """Consume one unit: of the flow's own grant if any is left, else of the reserves that the flow may use.
+
+        Returns None when no unit is left.
+        """
         grant = self._remaining.get(slot)
         if grant is None:
             return None
@@ -70,7 +76,7 @@
         return None
 
     def restore(self, consumed: ConsumedGrant) -> None:
-        """Nothing was accepted on this unit, which is certain: it can be consumed again while its slot lasts."""
+        """Make a unit available again while its slot lasts; only if certainly no submission was accepted with it."""
         grant = self._remaining.get(consumed.slot)
         if grant is None:
             return
@@ -81,7 +87,7 @@
         else:
             grant.shared += 1
 
-    def granted(self, slot: int, flow: Flow) -> int:
-        """What is left of a flow's own grant."""
+    def remaining(self, slot: int, flow: Flow) -> int:
+        """Return how many units are left of a flow's own grant."""
         grant = self._remaining.get(slot)
         return 0 if grant is None else grant.flows.get(flow, 0)
--- a/src/passrock/admission/core/rate_pacer.py
+++ b/src/passrock/admission/core/rate_pacer.py
@@ -1,18 +1,19 @@
-"""How much of the intake's capacity the leader can follow: an accepted job costs it several writes more."""
+"""Limits the admission capacity to what the leader can keep up with: each accepted job costs it further writes."""
 
 from __future__ import annotations
 
 MIN_SHARE = 0.1
 SHRINK_FACTOR = 0.6
 GROWTH_FACTOR = 1.25
-GROWTH_STEP = 0.02  # so that it leaves MIN_SHARE quickly
+GROWTH_STEP = 0.02  # added to each growth, so that the share recovers quickly from MIN_SHARE
 
 
 class RatePacer:
-    """A share of the capacity, adjusted to the measured delay of the leader's writes.
+    """The share of the admission capacity to use, adjusted to the measured delay of the leader's writes.
 
-    Starting and ending a job are three or four changes of records, which only the leader makes. What is accepted
-    faster than these are written waits in its queue, and the starts of interactive jobs with it.
+    Starting and ending a job takes three or four record updates, which only the leader makes. If jobs are accepted
+    faster than these updates are written, the updates wait in the leader's commit queue, and delay the starts of
+    interactive jobs.
     """
 
     def __init__(self, target_s: float) -> None:
@@ -20,7 +21,7 @@
         self.share = 1.0
 
     def record_delay(self, delay_s: float) -> None:
-        """Adjust the share: the leader's changed records wait for this long while a slot is decided."""
+        """Adjust the share to the delay of the leader's pending record updates at the time a slot is decided."""
         if delay_s > 2 * self.target_s:
             self.share = max(MIN_SHARE, self.share * SHRINK_FACTOR)
         elif delay_s <= self.target_s:
--- a/src/passrock/admission/core/slots.py
+++ b/src/passrock/admission/core/slots.py
@@ -1,4 +1,4 @@
-"""Numbered slots of the time of day."""
+"""Numbered slots: fixed-length intervals of wall-clock time."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class SlotClock(msgspec.Struct, frozen=True):
-    """Cuts the time of day into slots of equal length, the same for every controller."""
+    """Divides wall-clock time into numbered slots of equal length, identically on every controller."""
 
     length_s: float
 
-    def number(self, time_of_day: float) -> int:
-        """The slot of this moment."""
-        return math.floor(time_of_day / self.length_s)
+    def slot_at(self, wall_clock_now: float) -> int:
+        """Return the number of the slot that contains this time."""
+        return math.floor(wall_clock_now / self.length_s)
 
-    def start(self, slot: int) -> float:
-        """When a slot begins."""
+    def start_of(self, slot: int) -> float:
+        """Return the wall-clock time at which a slot begins."""
         return slot * self.length_s
 
-    def elapsed(self, time_of_day: float) -> float:
-        """The part of the present slot that is over, from 0 to 1."""
-        return min(1.0, max(0.0, time_of_day / self.length_s - self.number(time_of_day)))
+    def elapsed_fraction(self, wall_clock_now: float) -> float:
+        """Return the fraction of the current slot that has elapsed, from 0 to 1."""
+        return min(1.0, max(0.0, wall_clock_now / self.length_s - self.slot_at(wall_clock_now)))
 
-    def until(self, slot: int, time_of_day: float) -> float:
-        """Seconds until a slot begins; 0 when it has begun."""
-        return max(0.0, self.start(slot) - time_of_day)
+    def seconds_until(self, slot: int, wall_clock_now: float) -> float:
+        """Return the seconds until a slot begins; 0 if it has begun."""
+        return max(0.0, self.start_of(slot) - wall_clock_now)
--- a/src/passrock/admission/io/__init__.py
+++ b/src/passrock/admission/io/__init__.py
@@ -1,1 +1,1 @@
-"""Files of admission."""
+"""File input and output of admission."""
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -1,7 +1,7 @@
-"""The decision log: Avro files, compressed, bounded in size, written by a thread of their own.
+"""The decision log: compressed Avro files of bounded total size, written by a separate thread.
 
-Any tool for Avro object container files reads them. Each decision carries a checksum, since the format's own marks
-show a file that was cut off but not every byte that has changed.
+Any tool for Avro object container files can read them. Each decision has a checksum, because the sync markers of the
+format reveal a truncated file but not every changed byte.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 PREFIX = "decisions-"
 SUFFIX = ".avro"
-FILES = 4  # in a full log; the oldest one goes when another is begun
-BATCH = 16  # decisions in a block; they compress together
-MAX_QUEUED = 4  # blocks that await the thread; a disk that doesn't keep up loses decisions, not memory
+MAX_FILES = 4  # in a full log; the oldest file is deleted when another one is started
+BLOCK_DECISIONS = 16  # decisions per Avro block; a block is compressed as a whole
+MAX_QUEUED_BLOCKS = 4  # further blocks are dropped, so that a slow disk costs decisions and not memory
 CODEC = "zstandard"
 
 FLOW_SCHEMA = {
@@ -60,7 +60,7 @@
 
 
 class DecisionLogError(Exception):
-    """A log that can't be read on; names the file and what is wrong with it."""
+    """A log file that cannot be read to its end; the message names the file and the fault."""
 
 
 def _checksum(row: dict[str, Any]) -> int:
@@ -75,71 +75,71 @@
 
 
 class DecisionLog:
-    """Writes decisions to files in one directory; never holds up the event loop."""
+    """Writes decisions to files in one directory, without blocking the event loop."""
 
-    def __init__(self, directory: str, most_bytes: int, begun_ms: int) -> None:
+    def __init__(self, directory: str, max_bytes: int, started_ms: int) -> None:
         self.directory = directory
-        self.file_bytes = max(1, most_bytes // FILES)
-        self.begun_ms = begun_ms
-        self.lost = 0
-        self._batch: list[Decision] = []
-        self._number = 0
-        self._queued: list[Future[None]] = []
+        self.file_bytes = max(1, max_bytes // MAX_FILES)
+        self.started_ms = started_ms
+        self.dropped = 0
+        self._buffer: list[Decision] = []
+        self._file_number = 0
+        self._queued_writes: list[Future[None]] = []
         self._thread = ThreadPoolExecutor(1, "decision-log")
 
     def add(self, decision: Decision) -> None:
-        """Keep a decision; it is written with the next block."""
-        self._batch.append(decision)
-        if len(self._batch) >= BATCH:
+        """Buffer a decision; it is written with the next block."""
+        self._buffer.append(decision)
+        if len(self._buffer) >= BLOCK_DECISIONS:
             self.flush()
 
     def flush(self) -> None:
-        """Have what was added written."""
-        batch, self._batch = self._batch, []
-        self._queued = [one for one in self._queued if not one.done()]
+        """Queue the buffered decisions for writing; they are dropped if too many blocks are queued already."""
+        batch, self._buffer = self._buffer, []
+        self._queued_writes = [write for write in self._queued_writes if not write.done()]
         if not batch:
             return
-        if len(self._queued) >= MAX_QUEUED:
-            self.lost += len(batch)
+        if len(self._queued_writes) >= MAX_QUEUED_BLOCKS:
+            self.dropped += len(batch)
             return
-        self._queued.append(self._thread.submit(self._write, batch))
+        self._queued_writes.append(self._thread.submit(self._write, batch))
 
     def close(self) -> None:
-        """Write the rest and wait for it."""
+        """Write the buffered decisions and wait until all queued blocks are written."""
         self.flush()
         self._thread.shutdown()
 
     def _write(self, batch: list[Decision]) -> None:
         try:
             os.makedirs(self.directory, exist_ok=True)
-            path = self._current()
+            path = self._writable_path()
             rows = [_row(decision) for decision in batch]
             with open(path, "ab+") as file:
                 fastavro.writer(file, SCHEMA, rows, codec=CODEC)
-            for old in log_files(self.directory)[:-FILES]:
-                os.unlink(old)
-        except Exception as problem:  # noqa: BLE001 - the log must never harm what it tells of
-            error("decision_log_failed", error=repr(problem))
+            for old_path in log_files(self.directory)[:-MAX_FILES]:
+                os.unlink(old_path)
+        except Exception as exc:  # noqa: BLE001 - a log fault must not affect admission
+            error("decision_log_failed", error=repr(exc))
 
-    def _current(self) -> str:
+    def _writable_path(self) -> str:
         path = self._path()
         if os.path.exists(path) and os.path.getsize(path) >= self.file_bytes:
-            self._number += 1
+            self._file_number += 1
             path = self._path()
         return path
 
     def _path(self) -> str:
-        return os.path.join(self.directory, f"{PREFIX}{self.begun_ms:015d}-{self._number:05d}{SUFFIX}")
+        return os.path.join(self.directory, f"{PREFIX}{self.started_ms:015d}-{self._file_number:05d}{SUFFIX}")
 
 
 def log_files(directory: str) -> list[str]:
-    """The files of a log, oldest first."""
+    """Return the paths of the files of a log, oldest first."""
     names = sorted(name for name in os.listdir(directory) if name.startswith(PREFIX) and name.endswith(SUFFIX))
     return [os.path.join(directory, name) for name in names]
 
 
 def read_file(path: str) -> Iterator[Decision]:
-    """The decisions of one file; raises DecisionLogError where it can't be read on."""
+    """Yield the decisions of one file; raises DecisionLogError where the file cannot be read any further."""
     count = 0
     try:
         with open(path, "rb") as file:
@@ -149,8 +149,8 @@
                 yield decision
     except GeneratorExit:
         raise
-    except Exception as problem:  # the parser raises many kinds, all of which mean an unreadable file
-        raise DecisionLogError(f"{path}: unreadable after {count} decisions: {problem}") from problem
+    except Exception as exc:  # the parser raises many kinds, all of which mean an unreadable file
+        raise DecisionLogError(f"{path}: unreadable after {count} decisions: {exc}") from exc
 
 
 def _decision(row: object) -> Decision:
--- a/src/passrock/admission/report.py
+++ b/src/passrock/admission/report.py
@@ -1,4 +1,4 @@
-"""The command ``passrock admission report``: who was served, refused and waiting, and why."""
+"""The command ``passrock admission report``: which flows were served, refused and waiting, and why."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class FlowSummary(msgspec.Struct):
-    """One flow over a range of time."""
+    """The outcomes of one flow over a range of time."""
 
     team: str
     job_class: str
-    wanted: int = 0  # the most in one slot
+    wanted: int = 0  # maximum over the slots
     granted: int = 0
     admitted: int = 0
     refused: int = 0
     started: int = 0
     waiting_jobs: int = 0  # at the end of the range
     longest_wait_s: float = 0.0
-    obstacles: dict[str, int] = {}  # slots by what kept waiting jobs from a start
+    obstacles: dict[str, int] = {}  # number of slots by obstacle to the start of waiting jobs
 
     def add(self, outcome: FlowOutcome) -> None:
-        """Take in one slot."""
+        """Add the outcome of the next slot."""
         self.wanted = max(self.wanted, outcome.wanted)
         self.granted += outcome.granted
         self.admitted += outcome.admitted
@@ -45,7 +45,7 @@
 
 
 class Report(msgspec.Struct):
-    """All flows over a range of time, and where the log could not be read."""
+    """The outcomes of all flows over a range of time, and where the log could not be read."""
 
     slots: int = 0
     first: float | None = None
@@ -55,18 +55,21 @@
     faults: list[str] = []
 
 
-def gather(paths: Iterable[str], begin: float, end: float) -> Report:
-    """Read files and directories of files; each slot counts once, as its latest term tells it."""
+def summarize(paths: Iterable[str], begin: float, end: float) -> Report:
+    """Summarize the decisions of log files and directories of log files from ``begin`` until before ``end``.
+
+    Each slot counts once; of several decisions on a slot, the one of the latest term counts.
+    """
     faults: list[str] = []
     decisions: dict[int, Decision] = {}
-    for path in _files(paths, faults):
+    for path in _log_paths(paths, faults):
         try:
             for decision in read_file(path):
                 known = decisions.get(decision.slot)
                 if begin <= decision.at < end and (known is None or known.term <= decision.term):
                     decisions[decision.slot] = decision
-        except DecisionLogError as problem:
-            faults.append(str(problem))
+        except DecisionLogError as exc:
+            faults.append(str(exc))
     ordered = [decisions[slot] for slot in sorted(decisions)]
     report = Report(len(ordered), faults=faults)
     if ordered:
@@ -81,22 +84,22 @@
     return report
 
 
-def _files(paths: Iterable[str], faults: list[str]) -> list[str]:
-    found: list[str] = []
+def _log_paths(paths: Iterable[str], faults: list[str]) -> list[str]:
+    all_paths: list[str] = []
     for path in paths:
         try:
-            inside = log_files(path) if os.path.isdir(path) else [path]
-        except OSError as problem:
-            faults.append(f"{path}: {problem.strerror}")
+            log_paths = log_files(path) if os.path.isdir(path) else [path]
+        except OSError as exc:
+            faults.append(f"{path}: {exc.strerror}")
             continue
-        if not inside:
+        if not log_paths:
             faults.append(f"{path}: no decision log there")
-        found += inside
-    return found
+        all_paths += log_paths
+    return all_paths
 
 
 def parse_time(text: str) -> float:
-    """Seconds since 1970, from that number itself or an ISO 8601 time; raises ValueError."""
+    """Parse seconds since 1970 or an ISO 8601 time into seconds since 1970; raises ValueError."""
     try:
         return float(text)
     except ValueError:
@@ -104,40 +107,42 @@
 
 
 def run(paths: list[str], begin: str | None, end: str | None, *, as_json: bool) -> int:
-    """Print the report; the exit code tells whether all of the log could be read."""
+    """Print the report, and return the exit code, which shows whether all of the log could be read."""
     try:
         first = parse_time(begin) if begin else float("-inf")
         last = parse_time(end) if end else float("inf")
-    except ValueError as problem:
-        print(f"passrock: {problem}", file=sys.stderr)
+    except ValueError as exc:
+        print(f"passrock: {exc}", file=sys.stderr)
         return EXIT_USAGE
-    report = gather(paths, first, last)
-    print(msgspec.json.encode(report).decode() if as_json else as_text(report))
+    report = summarize(paths, first, last)
+    print(msgspec.json.encode(report).decode() if as_json else format_text(report))
     for fault in report.faults:
         print(f"passrock: {fault}", file=sys.stderr)
     return EXIT_INCOMPLETE if report.faults else 0
 
 
-def as_text(report: Report) -> str:
-    """The report as a table."""
+def format_text(report: Report) -> str:
+    """Format the report as a table."""
     if report.first is None or report.last is None:
         return "no decisions in this range"
-    span = f"{_moment(report.first)} to {_moment(report.last)}"
+    span = f"{_format_time(report.first)} to {_format_time(report.last)}"
     lines = [f"{report.slots} slots, {span}, led by {', '.join(report.leaders)}", ""]
     head = ("team", "class", "admitted", "refused", "started", "waiting", "longest wait", "kept waiting by")
-    lines.append(_line(head))
+    lines.append(_format_row(head))
     for flow in report.flows:
         reasons = ", ".join(f"{name} ({count} slots)" for name, count in sorted(flow.obstacles.items()))
         wait = f"{flow.longest_wait_s:.0f} s"
         counts = (str(flow.admitted), str(flow.refused), str(flow.started), str(flow.waiting_jobs))
-        lines.append(_line((flow.team, flow.job_class, *counts, wait, reasons or "-")))
+        lines.append(_format_row((flow.team, flow.job_class, *counts, wait, reasons or "-")))
     return "\n".join(lines)
 
 
-def _moment(at: float) -> str:
+def _format_time(at: float) -> str:
     return datetime.fromtimestamp(at).isoformat(timespec="seconds")
 
 
-def _line(cells: tuple[str, ...]) -> str:
+def _format_row(cells: tuple[str, ...]) -> str:
     team, job_class, *numbers, last = cells
-    return f"{team:{NAME_WIDTH}} {job_class:{NAME_WIDTH}} " + " ".join(f"{n:>12}" for n in numbers) + f"  {last}"
+    return (
+        f"{team:{NAME_WIDTH}} {job_class:{NAME_WIDTH}} " + " ".join(f"{cell:>12}" for cell in numbers) + f"  {last}"
+    )
--- a/src/passrock/admission/settings.py
+++ b/src/passrock/admission/settings.py
@@ -1,4 +1,4 @@
-"""Operators' settings of admission: the ``admission`` block of their HCL file."""
+"""Operators' settings of fair admission: the ``admission`` block of their HCL file."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class AdmissionSettings(msgspec.Struct, frozen=True):
-    """Ratios and weights of admission. Defaults stand in deploy/admission.hcl."""
+    """Settings of fair admission; deploy/admission.hcl lists them with their defaults."""
 
     slot_ratio: float = 4.0  # length of a slot, in heartbeat intervals
-    intake_share: float = 0.8  # of a follower's part of the store's write rate, for submissions
-    leader_intake_share: float = 0.2  # the same of the leader's part
+    intake_share: float = 0.8  # of a follower's share of the store's write rate, for submissions
+    leader_intake_share: float = 0.2  # of the leader's share of the store's write rate, for submissions
     interactive_share: float = 0.2  # of a controller's capacity, reserved for interactive classes
-    burst_share: float = 0.1  # of it, reserved for demand that nobody has reported yet
-    interactive_most: float = 0.5  # of what is granted by demand, for interactive classes before all others
-    interactive_ratio: float = 1.5  # times the shortest objective on waiting: up to this a class is interactive
-    window_s: float = 600.0  # every class with feasible waiting work has a start in each window
-    favour_ratio: float = 0.33  # of the window without a start, after which a class is prioritized
-    protect_ratio: float = 0.2  # of the window, for which what was started so is not preempted
-    log_dir: str = ""  # of the decision log; empty: none is kept
-    log_mb: float = 2.0
+    burst_share: float = 0.1  # of a controller's capacity, reserved for demand not yet reported
+    interactive_most: float = 0.5  # of the capacity granted by demand, for interactive classes before all others
+    interactive_ratio: float = 1.5  # interactive classes: waiting objective up to this multiple of the shortest one
+    window_s: float = 600.0  # every class with waiting jobs that could run has a start in each window
+    favour_ratio: float = 0.33  # of the window; a class without a start for longer is prioritized
+    protect_ratio: float = 0.2  # of the window; how long a job that was prioritized is not preempted
+    log_dir: str = ""  # directory of the decision log; empty: no log is written
+    log_mb: float = 2.0  # approximate limit on the size of the decision log
     team_weights: dict[str, float] = {}
     class_weights: dict[str, float] = {}
 
@@ -42,12 +42,12 @@
     "protect_ratio": (0.0, 1.0),
     "log_mb": (MIN_LOG_MB, 1024.0),
 }
-WEIGHTS = (0.001, 1000.0)
-MAX_RESERVED_SHARE = 0.8  # of a controller's capacity, for interactive classes and bursts together
+WEIGHT_RANGE = (0.001, 1000.0)
+MAX_RESERVED_SHARE = 0.8  # limit on interactive_share + burst_share
 
 
 def parse_admission(block: Mapping[str, Any], where: str, faults: list[str]) -> AdmissionSettings:
-    """Check the entries of the block; unknown and out-of-range ones are faults by name."""
+    """Parse and check the block; faults in its entries are appended to ``faults``, with the path of each entry."""
     values: dict[str, Any] = {}
     for key, value in block.items():
         if key.startswith("__"):
@@ -82,7 +82,7 @@
     if not isinstance(value, str):
         faults.append(f"{path}: a text is required")
         return ""
-    return value.strip('"')  # the parser keeps the quotes
+    return value.strip('"')  # the HCL parser keeps the quotes
 
 
 def _weights(value: object, path: str, faults: list[str]) -> dict[str, float]:
@@ -90,7 +90,7 @@
         faults.append(f"{path}: a map from names to weights is required")
         return {}
     return {
-        name.strip('"'): _number(weight, WEIGHTS, f"{path}.{name}", faults)
+        name.strip('"'): _number(weight, WEIGHT_RANGE, f"{path}.{name}", faults)
         for name, weight in value.items()
         if not name.startswith("__")
     }
--- a/src/passrock/admission/wire/__init__.py
+++ b/src/passrock/admission/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Stored and transmitted forms of admission."""
+"""Encodings of admission's stored records and messages."""
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -124,7 +124,7 @@
             self.leader_term.stop()
             self.leader_term = None
             if self.admission is not None:
-                self.admission.lead_no_longer()
+                self.admission.stop_leading()
         self._share_rates(leading=self.leadership.leading)
         if self.leadership.leading:
             self.leader_term = LeaderTerm(
@@ -140,7 +140,7 @@
             )
             self.leader_term.start()
             if self.admission is not None:
-                self.admission.lead(self.leader_term)
+                self.admission.start_leading(self.leader_term)
 
     def _on_state_change(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.CANCELLATION) and entry is not None:
--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -1,4 +1,4 @@
-"""Floods of submissions, and a checker of what fair admission promises."""
+"""Load generators for submissions, and a checker for the invariants of fair admission."""
 
 import asyncio
 from itertools import pairwise
@@ -12,55 +12,65 @@
 from passrock.io.http_server import Request
 from standins.simulated_cluster import SimulatedCluster
 
-GIVES_UP_S = 60.0  # users repeat a submission for so long
+RETRY_FOR_S = 60.0  # how long users retry a submission
 OBJECTIVES = (
     {"kind": "wait", "class": "look", "within_s": 20.0, "share": 0.9},
     {"kind": "wait", "class": "batch", "within_s": 100.0, "share": 0.9},
 )
 ADMISSION = AdmissionSettings()
-SLOT_S = 4.0  # with the simulation's report interval
+SLOT_S = 4.0  # slot_ratio heartbeat intervals of the simulation
 
 
 def overloaded_cluster(seed, admission=ADMISSION, **options):
-    """Three controllers with few changes a second, and the checker."""
+    """Return a cluster of three controllers with a low write rate of the store, and its checker."""
     options = {"write_rps": 10.0, "objectives": OBJECTIVES, "admission": admission, **options}
     cluster = SimulatedCluster(seed, **options)
     return cluster, AdmissionChecker(cluster)
 
 
 class AdmissionChecker:
-    """Sees each write that the state service applies; keeps (rule, detail) of what should not be."""
+    """Checks each write that the store applies; collects violations as (rule, detail).
+
+    Attributes:
+        pages: every page of an allocation that was ever written, by key.
+        admitted: number of jobs by flow, by (slot, incarnation) of the grant reference.
+        without_grant_reference: number of jobs accepted without a grant reference.
+        accepted_at: time at which the job's record was written, by job.
+        first_submitted_at: time of the first attempt to submit, by job.
+        answered_at: time of the first answer that confirmed the job, by job.
+        abandoned: jobs whose users stopped retrying.
+    """
 
     def __init__(self, cluster):
         self.cluster = cluster
-        self.broken = []
-        self.pages = {}  # every page of an allocation that was ever written
-        self.admitted = {}  # (slot, incarnation) -> flow -> jobs
-        self.unmarked = 0
+        self.violations = []
+        self.pages = {}
+        self.admitted = {}
+        self.without_grant_reference = 0
         self.accepted_at = {}
-        self.first_asked, self.got_in, self.given_up = {}, {}, set()
-        self._change, cluster.state._change = cluster.state._change, self._note
+        self.first_submitted_at, self.answered_at, self.abandoned = {}, {}, set()
+        self._change, cluster.state._change = cluster.state._change, self._on_writes
 
-    def _note(self, writes):
+    def _on_writes(self, writes):
         for write in writes:
             key = write.get("set", "")
             if key.startswith(keys.ALLOCATION):
                 if self.pages.setdefault(key, write["v"]) != write["v"]:
-                    self.broken.append(("two_allocations", key))
+                    self.violations.append(("two_allocations", key))
             elif key.startswith(keys.JOB) and key not in self.cluster.state.data:
                 self._accepted(key[len(keys.JOB) :], write["v"])
         self._change(writes)
 
     def _accepted(self, job, record):
         if job in self.accepted_at:
-            self.broken.append(("accepted_twice", job))
+            self.violations.append(("accepted_twice", job))
         self.accepted_at[job] = self.cluster.now()
-        mark = record.get("ad")
-        if mark is None:
-            self.unmarked += 1
+        grant_reference = record.get("ad")
+        if grant_reference is None:
+            self.without_grant_reference += 1
             return
         flow = Flow(record["s"]["t"], record["s"]["c"])
-        flows = self.admitted.setdefault(tuple(mark), {})
+        flows = self.admitted.setdefault(tuple(grant_reference), {})
         flows[flow] = flows.get(flow, 0) + 1
 
     def allocation(self, slot):
@@ -68,112 +78,115 @@
         return decode_allocation(pages) if pages else None
 
     def verify(self):
-        """Compare what was admitted with what was granted, slot by slot and controller by controller."""
+        """Compare admitted jobs with grants, by slot and controller; returns all violations found so far."""
         for (slot, incarnation), flows in self.admitted.items():
             allocation = self.allocation(slot)
             node_grants = (
                 []
                 if allocation is None
-                else [c for c in allocation.node_grants.values() if c.incarnation == incarnation]
+                else [grant for grant in allocation.node_grants.values() if grant.incarnation == incarnation]
             )
             if len(node_grants) != 1:
-                self.broken.append(("no_grant", (slot, incarnation)))
+                self.violations.append(("no_grant", (slot, incarnation)))
                 continue
             self._compare(slot, node_grants[0], flows)
-        return self.broken
+        return self.violations
 
     def _compare(self, slot, grant, flows):
-        over = {flow: max(0, count - grant.flows.get(flow, 0)) for flow, count in flows.items()}
-        interactive = sum(count for flow, count in over.items() if flow.job_class == "look")
-        others = sum(over.values()) - interactive
+        excess = {flow: max(0, count - grant.flows.get(flow, 0)) for flow, count in flows.items()}
+        interactive = sum(count for flow, count in excess.items() if flow.job_class == "look")
+        others = sum(excess.values()) - interactive
         if others > grant.shared or others + interactive > grant.shared + grant.interactive:
-            self.broken.append(("over_grant", (slot, flows, grant)))
+            self.violations.append(("over_grant", (slot, flows, grant)))
 
-    def waits(self, prefix, begin=0.0):
-        """Seconds from the first attempt to the acceptance of jobs that were first submitted after ``begin``."""
+    def admission_waits_s(self, prefix, begin=0.0):
+        """Return the seconds from first submission to confirmation; infinite for a job that was never confirmed.
+
+        Only jobs with this prefix that were first submitted at ``begin`` or later are included.
+        """
         return [
-            self.got_in.get(job, float("inf")) - at
-            for job, at in self.first_asked.items()
+            self.answered_at.get(job, float("inf")) - at
+            for job, at in self.first_submitted_at.items()
             if job.startswith(prefix) and at >= begin
         ]
 
 
-def note_starts(cluster):
-    """Times of all starts, by class."""
+def record_starts(cluster):
+    """Return a dictionary in which the times of all starts are recorded by class."""
     starts = {}
     started = cluster.checker.started
 
-    def note(worker, task):
+    def record(worker, task):
         starts.setdefault(cluster.specs[task.job]["shelfmark"], []).append(cluster.now())
         started(worker, task)
 
-    cluster.checker.started = note
+    cluster.checker.started = record
     return starts
 
 
-def longest_gap(times, begin, end):
-    """The longest time without a start."""
+def longest_gap_s(times, begin, end):
+    """Return the longest time without a start between ``begin`` and ``end``."""
     points = [begin, *(at for at in times if begin <= at <= end), end]
     return max(later - earlier for earlier, later in pairwise(points))
 
 
 class ClassWaits:
-    """The longest time for which each class had accepted jobs waiting and no start."""
+    """Measures the longest time for which each class had accepted jobs waiting and no start."""
 
     def __init__(self, cluster, checker):
         self.cluster, self.checker = cluster, checker
-        self.starts = note_starts(cluster)
-        self.longest = {}
+        self.starts = record_starts(cluster)
+        self.longest_s = {}
 
     async def run(self):
-        """Look every two seconds."""
+        """Update the measurement every two seconds."""
         while True:
             await asyncio.sleep(2.0)
-            begun = {job for (job, _), places in self.cluster.checker.present.items() if places}
-            begun |= {job for job, _ in self.cluster.completed}
+            started = {job for (job, _), places in self.cluster.checker.present.items() if places}
+            started |= {job for job, _ in self.cluster.completed}
             oldest = {}
             for job, at in self.checker.accepted_at.items():
-                if job not in begun:
+                if job not in started:
                     name = self.cluster.specs[job]["shelfmark"]
                     oldest[name] = min(at, oldest.get(name, at))
             for name, at in oldest.items():
                 since = max(at, self.starts.get(name, [0.0])[-1])
-                self.longest[name] = max(self.longest.get(name, 0.0), self.cluster.now() - since)
+                self.longest_s[name] = max(self.longest_s.get(name, 0.0), self.cluster.now() - since)
 
 
 async def submit(cluster, checker, spec, run_s=1.0, node=None):
-    """A user who repeats a submission as told until it is accepted, or gives up; whether it was accepted."""
+    """Submit a job and retry as a user does, after the time given in answers; returns whether it was accepted."""
     job = spec["ref"]
     cluster.specs[job], cluster.run_times[job] = spec, run_s
     body = cbor2.dumps(spec)
-    first = checker.first_asked.setdefault(job, cluster.now())
-    while cluster.now() - first < GIVES_UP_S:
-        asked, wait = cluster.now(), 1.0
+    first_at = checker.first_submitted_at.setdefault(job, cluster.now())
+    while cluster.now() - first_at < RETRY_FOR_S:
+        asked_at, retry_after_s = cluster.now(), 1.0
         try:
             async with asyncio.timeout(5.0):
-                to = node or cluster.rng.choice(cluster.serving())
-                response = await cluster._ask(to, Request("POST", "/v2/runs", body))
+                target = node or cluster.rng.choice(cluster.serving())
+                response = await cluster._ask(target, Request("POST", "/v2/runs", body))
         except (TimeoutError, ConnectionError):
             response = None
         if response is not None:
             if response.status in (200, 201):
-                checker.got_in.setdefault(job, cluster.now())
-                cluster.checker.answered(job, asked, response.status, cbor2.loads(response.body), submission=True)
+                checker.answered_at.setdefault(job, cluster.now())
+                cluster.checker.answered(job, asked_at, response.status, cbor2.loads(response.body), submission=True)
                 return True
-            wait = max(wait, response.retry_after or 0.0)
-        await asyncio.sleep(wait)
-    checker.given_up.add(job)
+            retry_after_s = max(retry_after_s, response.retry_after or 0.0)
+        await asyncio.sleep(retry_after_s)
+    checker.abandoned.add(job)
     return False
 
 
 class SubmissionLoad:
-    """Submits jobs of one class at a steady rate."""
+    """Submits jobs of one class at a constant mean rate."""
 
-    def __init__(self, cluster, checker, first, **fields):
-        self.cluster, self.checker, self.number, self.fields = cluster, checker, first, fields
+    def __init__(self, cluster, checker, first_number, **fields):
+        self.cluster, self.checker, self.number, self.fields = cluster, checker, first_number, fields
 
     async def run(self, rate, for_s, run_s=1.0, node=None):
-        """Jobs at random moments; ``node``: a single controller hears them all."""
+        """Submit jobs at random intervals, all to one controller if ``node`` is given."""
         until = self.cluster.now() + for_s
         while self.cluster.now() < until:
             self.number += 1
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -1,9 +1,9 @@
-"""Decisions of admission as tables: allocations, grants, demand, starts, and the forms in which they are kept."""
+"""Decision logic of admission: allocations, grants, demand and starts, and their encodings."""
 
 import msgspec
 import pytest
 
-from passrock.admission.controller.allocator import shorten
+from passrock.admission.controller.allocator import halve_rows
 from passrock.admission.core.admitted import AdmittedJobs
 from passrock.admission.core.allocation import (
     Allocation,
@@ -17,11 +17,11 @@
 from passrock.admission.core.grants import GrantLedger, GrantSource
 from passrock.admission.core.rate_pacer import MIN_SHARE, RatePacer
 from passrock.admission.core.slots import SlotClock
-from passrock.admission.core.starvation import Obstacle, StartWatch, WaitingJob
+from passrock.admission.core.starvation import Obstacle, StartTracker, WaitingJob
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
 from passrock.admission.wire.demand_message import (
-    MESSAGE_BYTES,
-    DemandForm,
+    MAX_MESSAGE_BYTES,
+    DemandMessage,
     MalformedDemandError,
     decode_demand,
     encode_demand,
@@ -34,7 +34,7 @@
     Objective("wait", "train", 70.0, 0.9),
     Objective("finished", "quick", 5.0, 0.9),
 )
-PLAIN = CapacityShares(0.0, 0.0, 0.0)
+NO_RESERVES = CapacityShares(0.0, 0.0, 0.0)
 
 
 def team(name, gpus=4.0, limit=8.0):
@@ -46,15 +46,15 @@
 
 
 def wanted(**counts):
-    """Demand by ``team_class=count`` at one controller."""
+    """Return the demand at one controller from ``team_class=count``."""
     return {Flow(*name.split("_")): FlowDemand(count) for name, count in counts.items()}
 
 
 def totals(node_grants):
     return {
-        f"{f.team}_{f.job_class}": sum(c.flows.get(f, 0) for c in node_grants.values())
-        for c in node_grants.values()
-        for f in c.flows
+        f"{flow.team}_{flow.job_class}": sum(grant.flows.get(flow, 0) for grant in node_grants.values())
+        for grant in node_grants.values()
+        for flow in grant.flows
     }
 
 
@@ -110,10 +110,10 @@
 )
 def test_capacity_is_divided_fairly(capacity, demand, team_weights, expected):
     node_grants = FairShareAllocator(
-        capacity, demand, ReceivedService(), weights(team_weights=team_weights), PLAIN
+        capacity, demand, ReceivedService(), weights(team_weights=team_weights), NO_RESERVES
     ).run()
     assert totals(node_grants) == expected
-    # capacity without demand is in reserve
+    # capacity without demand is added to the shared reserve
     assert {node: grant.total for node, grant in node_grants.items()} == capacity
 
 
@@ -124,26 +124,30 @@
     assert (node_grants["x"].interactive, node_grants["x"].shared, node_grants["x"].total) == (4, 2, 20)
     assert (node_grants["y"].interactive, node_grants["y"].shared, node_grants["y"].total) == (2, 8, 10)
     granted = totals(node_grants)
-    assert granted["a_look"] >= 10  # half of what is granted, and no more takes all
+    assert granted["a_look"] >= 10  # interactive flows get half of the grants first, but not all
     assert granted["b_batch"] > 0
 
 
 def test_a_small_flow_has_a_unit_at_each_controller():
     node_grants = FairShareAllocator(
-        {"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=1)}, ReceivedService(), weights(), PLAIN
+        {"x": 9, "y": 9}, {"x": wanted(a_batch=90, b_batch=1)}, ReceivedService(), weights(), NO_RESERVES
     ).run()
     few = Flow("b", "batch")
     assert [grant.flows.get(few, 0) for grant in node_grants.values()] == [1, 1]
 
 
 def test_more_flows_than_capacity_take_turns():
-    """1,000 flows of which a slot serves 37: each is served once before any is served twice."""
+    """With 1,000 flows and 37 grants per slot, all flows are served once before a flow is served again."""
     flows = [Flow(f"team-{n % 50}", f"class-{n}") for n in range(1000)]
-    one = weights(teams=[f"team-{n}" for n in range(50)])
+    flow_weights = weights(teams=[f"team-{n}" for n in range(50)])
     service, served = ReceivedService(), dict.fromkeys(flows, 0)
     for _ in range(1000 // 37 + 1):
         node_grants = FairShareAllocator(
-            {"x": 37}, {"x": {f: FlowDemand(5) for f in flows}}, service, one, PLAIN
+            {"x": 37},
+            {"x": {waiting_flow: FlowDemand(5) for waiting_flow in flows}},
+            service,
+            flow_weights,
+            NO_RESERVES,
         ).run()
         for flow, units in node_grants["x"].flows.items():
             served[flow] += units
@@ -152,32 +156,36 @@
 
 
 def test_an_idle_flow_accumulates_no_credit():
-    service, one = ReceivedService(), weights()
+    service, flow_weights = ReceivedService(), weights()
     for _ in range(50):
-        FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90)}, service, one, PLAIN).run()
-    node_grants = FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, service, one, PLAIN).run()
+        FairShareAllocator({"x": 10}, {"x": wanted(a_batch=90)}, service, flow_weights, NO_RESERVES).run()
+    node_grants = FairShareAllocator(
+        {"x": 10}, {"x": wanted(a_batch=90, b_batch=90)}, service, flow_weights, NO_RESERVES
+    ).run()
     assert totals(node_grants) == {"a_batch": 5, "b_batch": 5}
 
 
 def test_unused_grants_are_credited_back():
-    service, one = ReceivedService(), weights()
-    service.charge(Flow("a", "batch"), 6, one)
-    service.charge(Flow("a", "batch"), -6, one)
+    service, flow_weights = ReceivedService(), weights()
+    service.charge(Flow("a", "batch"), 6, flow_weights)
+    service.charge(Flow("a", "batch"), -6, flow_weights)
     assert service.teams == {"a": 0.0}
 
 
 @pytest.mark.parametrize(("ratio", "expected"), [(1.0, {"look"}), (1.5, {"look"}), (4.0, {"look", "train"})])
 def test_interactive_classes_are_those_with_the_shortest_objectives(ratio, expected):
-    one = weights(ratio=ratio)
-    assert {name for name in ("look", "train", "quick", "batch") if one.is_interactive(Flow("a", name))} == expected
+    flow_weights = weights(ratio=ratio)
+    assert {
+        name for name in ("look", "train", "quick", "batch") if flow_weights.is_interactive(Flow("a", name))
+    } == expected
 
 
 def test_slots_of_the_time_of_day():
     clock = SlotClock(4.0)
-    assert [clock.number(at) for at in (-0.001, 0.0, 3.999, 4.0)] == [-1, 0, 0, 1]
-    assert clock.elapsed(6.0) == 0.5
-    assert clock.until(3, 6.0) == 6.0
-    assert clock.until(1, 6.0) == 0.0
+    assert [clock.slot_at(at) for at in (-0.001, 0.0, 3.999, 4.0)] == [-1, 0, 0, 1]
+    assert clock.elapsed_fraction(6.0) == 0.5
+    assert clock.seconds_until(3, 6.0) == 6.0
+    assert clock.seconds_until(1, 6.0) == 0.0
 
 
 def allocation(slot=7, incarnation=5, **flows):
@@ -185,16 +193,16 @@
     return Allocation(slot, 3, "n1", {"n1": grant, "n2": NodeGrant(9, 2, 2)}, ReceivedService({"a": 1.5}), 5)
 
 
-def test_each_unit_is_spent_once():
+def test_each_unit_is_consumed_once():
     grants = GrantLedger("n1", 5)
     grants.add(allocation(a_batch=1))
-    grants.add(allocation(a_batch=50))  # a slot has one allocation for ever
+    grants.add(allocation(a_batch=50))  # the allocation of a slot is final
     batch, interactive = Flow("a", "batch"), Flow("a", "look")
     sources = [
         grants.consume(7, flow, interactive=flow is interactive)
         for flow in (batch, interactive, batch, interactive, batch)
     ]
-    assert [one and one.source for one in sources] == [
+    assert [consumed and consumed.source for consumed in sources] == [
         GrantSource.FLOW,
         GrantSource.INTERACTIVE,
         GrantSource.SHARED,
@@ -204,7 +212,7 @@
     grants.restore(sources[0])
     assert grants.consume(7, interactive, interactive=True) is None
     assert grants.consume(7, batch, interactive=False).source is GrantSource.FLOW
-    assert grants.consume(8, batch, interactive=False) is None  # nothing was read for that slot
+    assert grants.consume(8, batch, interactive=False) is None  # no allocation was added for that slot
 
 
 def test_grants_of_a_former_incarnation_are_not_used():
@@ -218,47 +226,59 @@
     flow = Flow("a", "batch")
     for job in ("one", "two", "one"):
         counter.record_refused(job, flow, 4, 10.0, 30.0)
-    assert counter.demand(4, 12.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=0, oldest_s=2.0)
-    assert counter.demand(5, 14.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=3, oldest_s=4.0)
+    assert counter.demand(4, 12.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=0, oldest_age_s=2.0)
+    assert counter.demand(5, 14.0)[flow] == FlowDemand(waiting=2, arriving=2, refused=3, oldest_age_s=4.0)
     counter.record_admitted("one", flow, 5)
-    counter.accepted_anywhere("two")  # by another controller
-    assert counter.waiting(flow) == 0
+    counter.record_accepted("two")  # by another controller
+    assert counter.waiting_count(flow) == 0
     counter.record_refused("three", flow, 6, 18.0, 20.0)
-    assert flow not in counter.demand(8, 21.0)  # not submitted again
+    assert flow not in counter.demand(8, 21.0)  # not retried in time
 
 
-def report(node="n1", incarnation=5, started=1000, number=1, term=3, **flows):
-    return DemandReport(node, incarnation, started, number, term, wanted(**flows))
+def demand_report(node="n1", incarnation=5, started=1000, sequence_number=1, term=3, **flows):
+    return DemandReport(node, incarnation, started, sequence_number, term, wanted(**flows))
 
 
 @pytest.mark.parametrize(
     ("reports", "accepted", "waiting"),
     [
-        ([report(a_batch=1), report(number=2, a_batch=2)], [True, True], 2),
-        ([report(number=2, a_batch=2), report(a_batch=1)], [True, False], 2),  # out of order
-        ([report(a_batch=1), report(a_batch=1)], [True, False], 1),  # twice
-        ([report(number=9, a_batch=1), report(incarnation=6, started=2000, a_batch=4)], [True, True], 4),  # restarted
-        # its former incarnation
-        ([report(incarnation=6, started=2000, a_batch=4), report(number=9, a_batch=1)], [True, False], 4),
-        ([report(a_batch=1), report(number=2, term=2, a_batch=7)], [True, False], 1),  # of an older term
+        ([demand_report(a_batch=1), demand_report(sequence_number=2, a_batch=2)], [True, True], 2),
+        ([demand_report(sequence_number=2, a_batch=2), demand_report(a_batch=1)], [True, False], 2),  # out of order
+        ([demand_report(a_batch=1), demand_report(a_batch=1)], [True, False], 1),  # duplicate
+        (
+            [demand_report(sequence_number=9, a_batch=1), demand_report(incarnation=6, started=2000, a_batch=4)],
+            [True, True],
+            4,
+        ),  # restarted
+        # a late report of the former incarnation
+        (
+            [demand_report(incarnation=6, started=2000, a_batch=4), demand_report(sequence_number=9, a_batch=1)],
+            [True, False],
+            4,
+        ),
+        (
+            [demand_report(a_batch=1), demand_report(sequence_number=2, term=2, a_batch=7)],
+            [True, False],
+            1,
+        ),  # of an older term
     ],
 )
 def test_reports_of_demand(reports, accepted, waiting):
     table = DemandTable(8.0)
-    assert [table.update(one, 3, 100.0) for one in reports] == accepted
+    assert [table.update(received, 3, 100.0) for received in reports] == accepted
     assert table.demand(107.0)["n1"][Flow("a", "batch")].waiting == waiting
     assert table.demand(109.0) == {}
-    assert table.incarnations()["n1"] in (5, 6)  # without reports its reserves are left
+    assert table.incarnations()["n1"] in (5, 6)  # a controller without recent reports still gets its reserves
 
 
 def test_demand_message_is_bounded_and_round_trips():
     many = {Flow(f"team-{n}", "batch" * 10): FlowDemand(n, 1, 2, float(n)) for n in range(2000)}
     body = encode_demand(DemandReport("n1", 5, 1000, 1, 3, many))
-    assert len(body) <= MESSAGE_BYTES
+    assert len(body) <= MAX_MESSAGE_BYTES
     read = decode_demand("n1", body)
     assert read.omitted_flows + len(read.flows) == 2000
     assert Flow("team-1999", "batch" * 10) in read.flows
-    small = report(a_batch=1)
+    small = demand_report(a_batch=1)
     assert decode_demand("n1", encode_demand(small)) == small
 
 
@@ -267,14 +287,14 @@
     [
         b"",
         b"junk",
-        b"\x00" * (MESSAGE_BYTES + 1),
+        b"\x00" * (MAX_MESSAGE_BYTES + 1),
         msgspec.msgpack.encode({"version": 1}),
-        msgspec.msgpack.encode(DemandForm(2, 1, 1, 1, 1, 0)),
-        msgspec.msgpack.encode(DemandForm(1, -1, 1, 1, 1, 0)),
-        msgspec.msgpack.encode(DemandForm(1, 1, 1, 1, 1, 0, [("a", "b", -1, 0, 0, 0.0)])),
-        msgspec.msgpack.encode(DemandForm(1, 1, 1, 1, 1, 0, [("a", "b", 1 << 40, 0, 0, 0.0)])),
-        msgspec.msgpack.encode(DemandForm(1, 1, 1, 1, 1, 0, [("a", "b", 1, 0, 0, float("nan"))])),
-        msgspec.msgpack.encode(DemandForm(1, 1, 1, 1, 1, 0, [("a" * 300, "b", 1, 0, 0, 0.0)])),
+        msgspec.msgpack.encode(DemandMessage(2, 1, 1, 1, 1, 0)),
+        msgspec.msgpack.encode(DemandMessage(1, -1, 1, 1, 1, 0)),
+        msgspec.msgpack.encode(DemandMessage(1, 1, 1, 1, 1, 0, [("a", "b", -1, 0, 0, 0.0)])),
+        msgspec.msgpack.encode(DemandMessage(1, 1, 1, 1, 1, 0, [("a", "b", 1 << 40, 0, 0, 0.0)])),
+        msgspec.msgpack.encode(DemandMessage(1, 1, 1, 1, 1, 0, [("a", "b", 1, 0, 0, float("nan"))])),
+        msgspec.msgpack.encode(DemandMessage(1, 1, 1, 1, 1, 0, [("a" * 300, "b", 1, 0, 0, 0.0)])),
     ],
 )
 def test_malformed_demand(body):
@@ -292,18 +312,18 @@
 
 
 def test_allocation_of_a_thousand_flows_is_stored_on_pages():
-    one = large_allocation(1000)
-    pages = encode_allocation(one, 4096)
+    original = large_allocation(1000)
+    pages = encode_allocation(original, 4096)
     assert all(len(msgspec.json.encode(page)) <= 4096 for page in pages)
     read = decode_allocation(pages)
-    assert read.node_grants == one.node_grants
-    assert read.started == one.started
-    assert read.slot == one.slot
+    assert read.node_grants == original.node_grants
+    assert read.last_start_at == original.last_start_at
+    assert read.slot == original.slot
     assert read.service.flows[Flow("team-0700", "class-700")] == 100.0
-    total = {node: grant.total for node, grant in one.node_grants.items()}
-    shorten(one)
-    assert len(encode_allocation(one, 4096)) < len(pages)
-    assert {node: grant.total for node, grant in one.node_grants.items()} == total  # nothing is lost of the sums
+    total = {node: grant.total for node, grant in original.node_grants.items()}
+    halve_rows(original)
+    assert len(encode_allocation(original, 4096)) < len(pages)
+    assert {node: grant.total for node, grant in original.node_grants.items()} == total  # the sums stay the same
 
 
 @pytest.mark.parametrize(
@@ -328,8 +348,8 @@
 def test_jobs_are_counted_once_in_their_slot():
     jobs = AdmittedJobs()
     for job, slot in (("one", 4), ("two", 4), ("one", 4), ("three", 5)):
-        jobs.note(job, Flow("a", "batch"), slot)
-    assert (jobs.of(4), jobs.of(5), jobs.of(6)) == ({Flow("a", "batch"): 2}, {Flow("a", "batch"): 1}, {})
+        jobs.record(job, Flow("a", "batch"), slot)
+    assert (jobs.counts(4), jobs.counts(5), jobs.counts(6)) == ({Flow("a", "batch"): 2}, {Flow("a", "batch"): 1}, {})
 
 
 def waiting(job, flow, submitted, obstacle=Obstacle.OTHERS):
@@ -363,28 +383,31 @@
     ],
 )
 def test_which_jobs_are_prioritized_after_a_long_wait(jobs, starts, prioritized):
-    watch = StartWatch(200.0)
+    tracker = StartTracker(200.0)
     for flow, at in starts:
-        watch.note_start(Flow("a", flow), at)
-    waits = watch.look(jobs)
-    assert [wait.oldest for wait in watch.prioritized(waits, 300.0, 5)] == prioritized
+        tracker.record_start(Flow("a", flow), at)
+    waits = tracker.flow_waits(jobs)
+    assert [wait.oldest_job_id for wait in tracker.prioritized(waits, 300.0, 5)] == prioritized
 
 
-def test_last_starts_go_from_leader_to_leader():
-    watch = StartWatch(200.0)
-    watch.resume({Flow("a", "low"): 90.0})
-    watch.note_start(Flow("a", "high"), 250.0)
-    assert watch.prioritized(watch.look([waiting("j", "low", 0.0)]), 280.0, 1) == []  # not anew, and not forgotten
-    assert [one.since for one in watch.prioritized(watch.look([waiting("j", "low", 0.0)]), 291.0, 1)] == [90.0]
+def test_a_new_leader_restores_the_last_starts():
+    tracker = StartTracker(200.0)
+    tracker.restore({Flow("a", "low"): 90.0})
+    tracker.record_start(Flow("a", "high"), 250.0)
+    # the time is neither reset nor lost
+    assert tracker.prioritized(tracker.flow_waits([waiting("j", "low", 0.0)]), 280.0, 1) == []
+    assert [
+        wait.waiting_since for wait in tracker.prioritized(tracker.flow_waits([waiting("j", "low", 0.0)]), 291.0, 1)
+    ] == [90.0]
 
 
-def test_pace_follows_the_measured_delay():
+def test_pacing_share_follows_the_measured_delay():
     pacer = RatePacer(1.0)
     for _ in range(20):
         pacer.record_delay(5.0)
     assert pacer.share == MIN_SHARE
     pacer.record_delay(1.5)
-    assert pacer.share == MIN_SHARE  # neither late nor idle
+    assert pacer.share == MIN_SHARE  # between the target and twice the target the share stays
     for _ in range(30):
         pacer.record_delay(0.2)
     assert pacer.share == 1.0
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: a low-priority class has a start in every window, under an endless flood of higher ones."""
+"""Starvation prevention: a low-priority class has a start in every window under endless load of higher priority."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from passrock.admission.core.starvation import StartWatch
+from passrock.admission.core.starvation import StartTracker
 from passrock.admission.settings import AdmissionSettings
 from standins import virtual_time
 from standins.admission_load import ClassWaits, SubmissionLoad, overloaded_cluster, submit
@@ -17,7 +17,7 @@
 
 
 async def saturated_cluster(seed, for_s, admission=ADMISSION, **options):
-    """Two machines without scale-out, and endless production work for three times as many."""
+    """Return a cluster of two machines without scale-out, under production load for three times as many machines."""
     cluster, checker = overloaded_cluster(seed, admission, machines=2, capacity=(0, 0), zones=("a",), **options)
     waits = ClassWaits(cluster, checker)
     cluster.spawn(waits.run())
@@ -42,26 +42,26 @@
 
 
 def test_every_class_starts_in_every_window_for_an_hour():
-    """Production work fills the machines without end; one gang needs all of them, beside many tiny jobs."""
+    """Production load fills the machines all the time; one gang needs all machines, beside many tiny jobs."""
     for_s = 3600.0
     cluster, waits, begin = virtual_time.run(rare_starts(for_s, node_count=1))
     assert cluster.checker.broken == []
-    # of 0.2 that the machines could run: little is prioritized before it
+    # the machines can run 0.2 tasks per second; prioritization may cost less than half of that
     assert len(waits.starts["high"]) > 0.1 * for_s
-    assert all(waits.longest[name] <= WINDOW_S for name in ("high", "low", "tiny", "large"))
-    assert waits.starts["large"][0] - begin <= WINDOW_S  # all machines have to be free for it at once
+    assert all(waits.longest_s[name] <= WINDOW_S for name in ("high", "low", "tiny", "large"))
+    assert waits.starts["large"][0] - begin <= WINDOW_S  # it needs all machines free at once
 
 
 def test_without_dispatch_a_low_class_starves(monkeypatch):
-    """The check above fails where no class is prioritized."""
-    monkeypatch.setattr(StartWatch, "prioritized", lambda self, waits, now, limit: [])
+    """Without prioritization, the check of the test above fails."""
+    monkeypatch.setattr(StartTracker, "prioritized", lambda self, waits, wall_clock_now, limit: [])
     _, waits, _ = virtual_time.run(rare_starts(700.0, node_count=1))
-    assert waits.longest["low"] > WINDOW_S
-    assert waits.longest["tiny"] > WINDOW_S
+    assert waits.longest_s["low"] > WINDOW_S
+    assert waits.longest_s["tiny"] > WINDOW_S
 
 
 def test_a_new_leader_does_not_restart_the_waiting_time():
-    """Leaders that change more often than a class may wait."""
+    """The leader changes several times within a window, which must not reset the waiting times."""
 
     async def main():
         cluster, _, waits = await saturated_cluster(2, 1000.0)
@@ -73,7 +73,7 @@
     cluster, waits = virtual_time.run(main())
     assert cluster.checker.broken == []
     assert len(waits.starts["low"]) > 5
-    assert waits.longest["low"] <= WINDOW_S
+    assert waits.longest_s["low"] <= WINDOW_S
 
 
 @pytest.mark.parametrize(
@@ -101,58 +101,58 @@
         cluster.spawn(submit(cluster, checker, spec))
         await asyncio.sleep(100.0)
         leader = cluster.nodes[await cluster.wait_for_leader()].node
-        outcomes = leader.admission._deciding is not None
+        allocating = leader.admission._allocator_task is not None
         waits = {wait.flow.job_class: wait for wait in leader.admission.dispatch.waits}
-        return outcomes, waits["kept"].obstacle.value, leader.leader_term.scheduler.overrides.prioritized
+        return allocating, waits["kept"].obstacle.value, leader.leader_term.scheduler.overrides.prioritized
 
-    outcomes, found, prioritized = virtual_time.run(main())
-    assert outcomes
+    allocating, found, prioritized = virtual_time.run(main())
+    assert allocating
     assert found == obstacle
     assert "wk-600000" not in prioritized
 
 
 def test_removal_of_a_team_whose_jobs_wait():
-    """Its jobs stay known and nothing more is started for them; the leader goes on with the others."""
+    """Jobs of a removed team can still be queried but are not started; the leader serves the other teams."""
 
     async def main():
         cluster, checker, waits = await saturated_cluster(4, 120.0)
         starts = waits.starts
-        kept = cluster.job(LARGE, shelfmark="kept", desk="t2", precedence="low")
-        assert await submit(cluster, checker, kept, run_s=5.0)
-        cluster.teams = 2  # in the settings of processes that start from now on
+        orphaned = cluster.job(LARGE, shelfmark="kept", desk="t2", precedence="low")
+        assert await submit(cluster, checker, orphaned, run_s=5.0)
+        cluster.teams = 2  # applies to processes started from now on
         await cluster.crash(list(cluster.nodes), 1.0)
         await asyncio.sleep(60.0)
         before = len(starts["high"])
         await asyncio.sleep(30.0)
-        status, answer = await cluster.ask("GET", f"/v2/runs/{kept['ref']}")
+        status, answer = await cluster.ask("GET", f"/v2/runs/{orphaned['ref']}")
         refused = cluster.job(LARGE + 1, shelfmark="kept", desk="t2")
         cluster.specs[refused["ref"]] = refused
         fresh, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(refused))
         return len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
 
-    served, answers, kept = virtual_time.run(main())
+    served, answers, removed_team_starts = virtual_time.run(main())
     assert served > 0
-    assert kept is None
+    assert removed_team_starts is None
     assert answers == (200, "queued", 422)
 
 
 async def inject_controller_faults(cluster, for_s):
-    """Crashes, pauses, cuts and outages of a few seconds, one after the other."""
+    """Inject crashes, pauses, partitions and store outages of a few seconds, one after the other."""
     until = cluster.now() + for_s
     while cluster.now() < until:
         await asyncio.sleep(cluster.rng.uniform(15.0, 45.0))
-        name, spell = cluster.rng.choice(list(cluster.nodes)), cluster.rng.uniform(2.0, 10.0)
+        name, duration_s = cluster.rng.choice(list(cluster.nodes)), cluster.rng.uniform(2.0, 10.0)
         kind = cluster.rng.choice(["crash", "freeze", "refuse", "peers", "outage"])
         if kind == "crash":
-            await cluster.crash([name], spell)
+            await cluster.crash([name], duration_s)
         elif kind == "freeze":
-            cluster.nodes[name].frozen_until = cluster.now() + spell
+            cluster.nodes[name].frozen_until = cluster.now() + duration_s
         elif kind == "refuse":
-            await cluster.refuse(name, spell)
+            await cluster.refuse(name, duration_s)
         elif kind == "peers":
-            cluster.cuts.append(("peers", name, cluster.now() + spell))
+            cluster.cuts.append(("peers", name, cluster.now() + duration_s))
         else:
-            await cluster.outage(spell)
+            await cluster.outage(duration_s)
 
 
 @pytest.mark.parametrize("seed", range(20, 26))
@@ -166,4 +166,4 @@
     assert cluster.checker.broken == []
     assert checker.verify() == []
     assert len(waits.starts["low"]) > 3
-    assert waits.longest["low"] <= WINDOW_S
+    assert waits.longest_s["low"] <= WINDOW_S
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -1,21 +1,21 @@
-"""Three controller processes with admission on, stand-ins on loopback, and a flood of batch work."""
+"""Three controller processes with admission on, stand-ins on loopback, and an overload of batch jobs."""
 
 import asyncio
 
 from passrock.cli import main
-from standins.admission_load import OBJECTIVES, AdmissionChecker, SubmissionLoad, note_starts
+from standins.admission_load import OBJECTIVES, AdmissionChecker, SubmissionLoad, record_starts
 from standins.loopback_cluster import ROOT, LoopbackCluster
 
-TIMEOUT_S = 90.0  # far above what it takes; only a failure comes near it
+TIMEOUT_S = 90.0  # far above the usual duration; reached only when the test fails
 BATCH, INTERACTIVE = 100_000, 900_000
 
 
-async def flooded(folder):
+async def run_overload(folder):
     cluster = LoopbackCluster(6, zones=("a",), machines=4, objectives=OBJECTIVES)
     cluster.operator = [folder / "admission.hcl"]
     text = (ROOT / "deploy" / "admission.hcl").read_text().replace('log_dir = ""', f'log_dir = "{folder / "log"}"')
     cluster.operator[0].write_text(text.replace("slot_ratio = 4.0", "slot_ratio = 2.0"))
-    checker, starts = AdmissionChecker(cluster), note_starts(cluster)
+    checker, starts = AdmissionChecker(cluster), record_starts(cluster)
     await cluster.serve(folder)
     for name in cluster.nodes:
         await cluster.start(name)
@@ -25,10 +25,12 @@
                 await asyncio.sleep(0.2)
             batch = SubmissionLoad(cluster, checker, BATCH, shelfmark="batch", precedence="low")
             interactive = SubmissionLoad(cluster, checker, INTERACTIVE, shelfmark="look", precedence="prod")
-            flood = cluster.spawn(batch.run(150.0, 12.0, run_s=0.5))
+            overload = cluster.spawn(batch.run(150.0, 12.0, run_s=0.5))
             await interactive.run(2.0, 12.0, run_s=0.5)
-            await flood
-            while any(job.startswith("wk-9") and job not in checker.got_in for job in checker.first_asked):
+            await overload
+            while any(
+                job.startswith("wk-9") and job not in checker.answered_at for job in checker.first_submitted_at
+            ):
                 await asyncio.sleep(0.2)
             while "look" not in starts or "batch" not in starts:
                 await asyncio.sleep(0.2)
@@ -38,14 +40,16 @@
     return cluster, checker
 
 
-def test_a_flood_over_three_processes(tmp_path, capsys):
-    cluster, checker = asyncio.run(flooded(tmp_path))
+def test_overload_of_three_processes(tmp_path, capsys):
+    cluster, checker = asyncio.run(run_overload(tmp_path))
     assert checker.verify() == []
     assert cluster.checker.broken == []
-    assert checker.unmarked == 0  # every job was admitted by a grant
-    assert len({incarnation for _, incarnation in checker.admitted}) == 3  # at each controller
-    asked = sum(job.startswith("wk-1") for job in checker.first_asked)
-    assert 0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < asked  # more than could be admitted
-    # the processes were killed: the blocks that they had written are readable
+    assert checker.without_grant_reference == 0  # every job was admitted against a grant
+    assert len({incarnation for _, incarnation in checker.admitted}) == 3  # each controller admitted jobs
+    submitted = sum(job.startswith("wk-1") for job in checker.first_submitted_at)
+    assert (
+        0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < submitted
+    )  # the load exceeds what can be admitted
+    # the processes were killed; the blocks written before have to be readable
     main(["admission", "report", str(tmp_path / "log")])
     capsys.readouterr()
--- a/tests/test_admission_report.py
+++ b/tests/test_admission_report.py
@@ -1,4 +1,4 @@
-"""Settings, decision log and report of admission: all faults at once, and what a damaged log still yields."""
+"""Settings, decision log and report of admission: faulty settings, and reading of damaged logs."""
 
 import json
 import sys
@@ -7,7 +7,7 @@
 import pytest
 
 from passrock.admission.core.decision import Decision, FlowOutcome
-from passrock.admission.io.decision_log import BATCH, FILES, DecisionLog, log_files
+from passrock.admission.io.decision_log import BLOCK_DECISIONS, MAX_FILES, DecisionLog, log_files
 from passrock.admission.settings import AdmissionSettings
 from passrock.cli import main
 from passrock.settings import SettingsError, read_settings
@@ -67,10 +67,10 @@
     )
 
 
-def write(directory, decisions, most_bytes=1_000_000, begun_ms=1000):
-    log = DecisionLog(str(directory), most_bytes, begun_ms)
-    for one in decisions:
-        log.add(one)
+def write(directory, decisions, max_bytes=1_000_000, started_ms=1000):
+    log = DecisionLog(str(directory), max_bytes, started_ms)
+    for item in decisions:
+        log.add(item)
     log.close()
     return log
 
@@ -96,33 +96,38 @@
 @pytest.mark.parametrize(
     ("damage", "readable"),
     [
-        (lambda data: data[: len(data) * 2 // 3], 2 * BATCH),
-        (lambda data: data[: len(data) * 2 // 3] + bytes(50) + data[len(data) * 2 // 3 + 50 :], 2 * BATCH),
+        (lambda data: data[: len(data) * 2 // 3], 2 * BLOCK_DECISIONS),
+        (lambda data: data[: len(data) * 2 // 3] + bytes(50) + data[len(data) * 2 // 3 + 50 :], 2 * BLOCK_DECISIONS),
         (lambda data: data[:20], 0),
         (lambda data: b"", 0),
         (lambda data: b"junk" * 100, 0),
     ],
 )
 def test_a_damaged_log_is_read_up_to_the_damage_and_reported(damage, readable, tmp_path, capsys):
-    write(tmp_path, [decision(slot) for slot in range(3 * BATCH)])
+    write(tmp_path, [decision(slot) for slot in range(3 * BLOCK_DECISIONS)])
     (path,) = log_files(str(tmp_path))
     Path(path).write_bytes(damage(Path(path).read_bytes()))
     assert main(["admission", "report", str(tmp_path), "--json"]) == 1
     out, err = capsys.readouterr()
-    assert json.loads(out)["slots"] in (readable, readable - BATCH)  # a cut may fall just behind a block's mark
+    assert json.loads(out)["slots"] in (
+        readable,
+        readable - BLOCK_DECISIONS,
+    )  # the cut may fall just after a block's sync marker
     assert path in err
     assert "unreadable after" in err
 
 
 def test_a_changed_byte_is_noticed(tmp_path, capsys):
-    write(tmp_path, [decision(slot) for slot in range(BATCH)])
+    write(tmp_path, [decision(slot) for slot in range(BLOCK_DECISIONS)])
     (path,) = log_files(str(tmp_path))
     data = Path(path).read_bytes()
     for at in range(len(data) // 2, len(data), 7):
         Path(path).write_bytes(data[:at] + bytes([data[at] ^ 0x15]) + data[at + 1 :])
         code = main(["admission", "report", path, "--json"])
         report = json.loads(capsys.readouterr().out)
-        assert code == 1 or report["slots"] == BATCH  # the last mark alone may be spoilt without loss
+        assert (
+            code == 1 or report["slots"] == BLOCK_DECISIONS
+        )  # only a change in the last sync marker loses no decision
 
 
 @pytest.mark.parametrize("missing", ["nowhere", "empty"])
@@ -133,11 +138,11 @@
 
 
 def test_a_log_is_bounded_and_a_failing_disk_harms_nothing(tmp_path):
-    most = 20_000
-    write(tmp_path / "log", [decision(slot, leader=f"n{slot * 7919}") for slot in range(4000)], most)
+    limit_bytes = 20_000
+    write(tmp_path / "log", [decision(slot, leader=f"n{slot * 7919}") for slot in range(4000)], limit_bytes)
     sizes = [(tmp_path / "log" / name).stat().st_size for name in log_files(str(tmp_path / "log"))]
-    assert len(sizes) <= FILES
-    assert sum(sizes) <= 1.5 * most
+    assert len(sizes) <= MAX_FILES
+    assert sum(sizes) <= 1.5 * limit_bytes
     (tmp_path / "file").write_text("in the way")
     write(tmp_path / "file", [decision(1)])
 
@@ -145,9 +150,9 @@
 def test_nothing_of_admission_is_loaded_when_it_is_off():
     import subprocess
 
-    show = "import sys, passrock.controller.node, passrock.cli; print(*sys.modules)"
+    list_modules = "import sys, passrock.controller.node, passrock.cli; print(*sys.modules)"
     run = subprocess.run(
-        [sys.executable, "-c", show],
+        [sys.executable, "-c", list_modules],
         env={"PYTHONPATH": f"{ROOT / 'src'}"},
         capture_output=True,
         text=True,
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -27,7 +27,7 @@
 from builders import heartbeat as worker_heartbeat
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
-from passrock.admission.controller.dispatch import Dispatch
+from passrock.admission.controller.dispatch import DispatchPrioritizer
 from passrock.admission.controller.outcomes import SlotOutcomes
 from passrock.admission.controller.submission_admitter import SubmissionAdmitter
 from passrock.admission.core.allocation import Allocation, NodeGrant, ReceivedService
@@ -36,7 +36,7 @@
 from passrock.admission.core.flows import Flow, Weights
 from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
-from passrock.admission.core.starvation import Obstacle, StartWatch
+from passrock.admission.core.starvation import Obstacle, StartTracker
 from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
@@ -818,7 +818,7 @@
         node = make_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
         apply_to_replica(node, "p/j/wk-4071", record)
-        return plain(node.admission.admitted.of(4711))
+        return plain(node.admission.admitted.counts(4711))
 
     assert virtual_time.run(main()) == [[["team-ore", "class-sift"], 1]]
 
@@ -855,14 +855,14 @@
         leadership = make_leadership(client, make_replica(client))
         settings, admission = make_settings(AdmissionSettings()), AdmissionSettings()
         control = make_node(RecordingHttp(), AdmissionSettings()).admission
-        dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
+        dispatch = DispatchPrioritizer(StartTracker(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
         allocations = AllocationStore(dict, lambda allocation: None)
         for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
             allocations.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
         allocator = SlotAllocator(
-            settings, admission, client, leadership, allocations, outcomes, control.report, lambda: 0.0
+            settings, admission, client, leadership, allocations, outcomes, control.demand_report, lambda: 0.0
         )
         await allocator.decide(4712)
         return http.changing(), allocations.get(4712).mod_revision
@@ -1081,7 +1081,7 @@
     async def main():
         node = make_node(RecordingHttp(), AdmissionSettings())
         apply_to_replica(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
-        return [node.admission.admitted.of(slot) for slot in (4711, 13)]
+        return [node.admission.admitted.counts(slot) for slot in (4711, 13)]
 
     assert virtual_time.run(main()) == [{}, {}]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -319,7 +319,7 @@
         elif name == "log_dir":
             assert (limits, default, getattr(defaults, name)) == ("any", "empty", "")
         else:
-            low, high = admission.WEIGHTS
+            low, high = admission.WEIGHT_RANGE
             assert limits == f"{low:g} to {high:g}"
             assert getattr(defaults, name) == {}
 
--- a/tools/admission_load_test.py
+++ b/tools/admission_load_test.py
@@ -17,8 +17,8 @@
     OBJECTIVES,
     AdmissionChecker,
     SubmissionLoad,
-    longest_gap,
-    note_starts,
+    longest_gap_s,
+    record_starts,
 )
 from standins.loopback_cluster import LoopbackCluster  # noqa: E402
 
@@ -35,7 +35,7 @@
     """Play it; the cluster, the checker, starts by class, and when the flood began and ended."""
     cluster = LoopbackCluster(options.seed, zones=("a",), machines=8, objectives=OBJECTIVES, capacity=(0, 0))
     cluster.operator = [] if options.off else [ROOT / "deploy" / "admission.hcl"]
-    checker, starts = AdmissionChecker(cluster), note_starts(cluster)
+    checker, starts = AdmissionChecker(cluster), record_starts(cluster)
     await cluster.serve(folder)
     for name in cluster.nodes:
         await cluster.start(name)
@@ -74,14 +74,14 @@
     print("class   asked  admitted  gave up  wait p50/p99/max s       starts  longest time without a start s")
     for first, name, *_ in FLOWS:
         prefix = f"wk-{first}"[:6] if name in ("low", "gang") else f"wk-{first}"[:4]
-        waits = sorted(checker.waits(prefix))
+        waits = sorted(checker.admission_waits_s(prefix))
         got = [wait for wait in waits if wait < float("inf")]
-        gave_up = sum(job.startswith(prefix) for job in checker.given_up)
+        gave_up = sum(job.startswith(prefix) for job in checker.abandoned)
         at = [got[int(len(got) * part)] if got else float("nan") for part in (0.5, 0.99)] + [max(got, default=0.0)]
         times = starts.get(name, [])
         print(
             f"{name:7} {len(waits):5} {len(got):9} {gave_up:8}  {at[0]:7.2f} {at[1]:7.2f} {at[2]:7.2f}"
-            f" {len(times):12}  {longest_gap(times, begin, end):7.1f}"
+            f" {len(times):12}  {longest_gap_s(times, begin, end):7.1f}"
         )
 
 
--- a/tools/measure_leader_cpu.py
+++ b/tools/measure_leader_cpu.py
@@ -18,7 +18,7 @@
 
 from passrock.admission.controller.allocator import SlotAllocator  # noqa: E402
 from passrock.admission.controller.control import AdmissionControl  # noqa: E402
-from passrock.admission.controller.dispatch import Dispatch  # noqa: E402
+from passrock.admission.controller.dispatch import DispatchPrioritizer  # noqa: E402
 from passrock.admission.settings import AdmissionSettings  # noqa: E402
 from passrock.controller.autoscaler import Autoscaler  # noqa: E402
 from passrock.controller.binding_rounds import BindingRounds  # noqa: E402
@@ -116,8 +116,8 @@
             (AdmissionControl, "outgoing"),
             (AdmissionControl, "received"),
             (SlotAllocator, "_allocate"),
-            (SlotAllocator, "_pages"),
-            (Dispatch, "evaluated"),
+            (SlotAllocator, "_encode_pages"),
+            (DispatchPrioritizer, "on_pass_completed"),
         ):
             timed(owner, name)
     if options.profile:
