--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -148,9 +148,9 @@
             1.0 - self.clock.elapsed_fraction(wall_clock_now) if self.clock.slot_at(wall_clock_now) == slot else 1.0
         )
         writes = self.settings.state_write_rps * self.clock.length_s * remaining_fraction * self.pacer.share
-        count = self.settings.nodes
-        follower = writes * rate_share(leading=False, nodes=count) * self.admission.intake_share
-        leader = writes * rate_share(leading=True, nodes=count) * self.admission.leader_intake_share
+        node_count = self.settings.nodes
+        follower = writes * rate_share(leading=False, nodes=node_count) * self.admission.intake_share
+        leader = writes * rate_share(leading=True, nodes=node_count) * self.admission.leader_intake_share
         return {node: max(1, math.floor(leader if node == self.settings.node else follower)) for node in nodes}
 
     def _encode_pages(self, allocation: Allocation) -> list[dict[str, Any]]:
@@ -162,7 +162,7 @@
             halve_rows(allocation)
 
     def _deletions(self, ended: list[StoredAllocation], limit: int) -> list[Write]:
-        """Return deletions of the records of ended slots, oldest first, and of all pages of a record or none."""
+        """Return up to ``limit`` deletions of ended slots, oldest first; a record is deleted as a whole."""
         deletions: list[Write] = []
         for stored in ended:
             if len(deletions) + stored.pages > limit:
@@ -172,7 +172,10 @@
 
 
 def halve_rows(allocation: Allocation) -> None:
-    """Drop half of an allocation's rows; the units of dropped grants are added to the shared reserve."""
+    """Drop half of an allocation's rows: the smallest services, the latest last starts, and half of the grants.
+
+    The units of dropped grants are added to the shared reserve of their controller.
+    """
     service = sorted(allocation.service.flows.items(), key=lambda row: -row[1])
     allocation.service.flows = dict(service[: len(service) // 2])
     last_start_at = sorted(allocation.last_start_at.items(), key=lambda row: row[1])
--- a/src/passrock/admission/core/demand.py
+++ b/src/passrock/admission/core/demand.py
@@ -48,7 +48,7 @@
 
     flow: Flow
     first_refused_at: float
-    retry_by: float  # if it has not been retried by then, its user has stopped retrying
+    retry_by: float  # without a retry by then, the user is assumed to have stopped retrying
 
 
 class DemandCounter:
@@ -104,7 +104,7 @@
             self._stop_waiting(next(iter(self._waiting)))
 
     def record_accepted(self, job_id: str) -> None:
-        """Expect no retry of a job that some controller has accepted."""
+        """Stop expecting a retry of a job that some controller has accepted."""
         self._stop_waiting(job_id)
 
     def waiting_count(self, flow: Flow) -> int:
--- a/src/passrock/admission/wire/allocation_record.py
+++ b/src/passrock/admission/wire/allocation_record.py
@@ -19,7 +19,7 @@
 VERSION = 1
 COMPRESSION_LEVEL = 6
 PAGE_OVERHEAD_BYTES = 200  # of the limit on a value, for the page's other fields and its encoding
-MAX_UNCOMPRESSED_BYTES = 1 << 20  # a longer text is rejected as unreadable
+MAX_UNCOMPRESSED_BYTES = 1 << 20  # limit on a decompressed allocation; a longer one is unreadable
 
 
 class UnreadableAllocationError(Exception):
--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -18,7 +18,7 @@
     {"kind": "wait", "class": "batch", "within_s": 100.0, "share": 0.9},
 )
 ADMISSION = AdmissionSettings()
-SLOT_S = 4.0  # slot_ratio heartbeat intervals of the simulation
+SLOT_S = 4.0  # ADMISSION.slot_ratio times the simulation's heartbeat interval
 
 
 def overloaded_cluster(seed, admission=ADMISSION, **options):
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -127,8 +127,8 @@
         status, answer = await cluster.ask("GET", f"/v2/runs/{orphaned['ref']}")
         refused = cluster.job(LARGE + 1, shelfmark="kept", desk="t2")
         cluster.specs[refused["ref"]] = refused
-        fresh, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(refused))
-        return len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
+        refused_status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(refused))
+        return len(starts["high"]) - before, (status, answer["status"], refused_status), starts.get("kept")
 
     served, answers, removed_team_starts = virtual_time.run(main())
     assert served > 0
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -47,9 +47,8 @@
     assert checker.without_grant_reference == 0  # every job was admitted against a grant
     assert len({incarnation for _, incarnation in checker.admitted}) == 3  # each controller admitted jobs
     submitted = sum(job.startswith("wk-1") for job in checker.first_submitted_at)
-    assert (
-        0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < submitted
-    )  # the load exceeds what can be admitted
+    # the load exceeds what can be admitted
+    assert 0 < sum(job.startswith("wk-1") for job in checker.accepted_at) < submitted
     # the processes were killed; the blocks written before have to be readable
     main(["admission", "report", str(tmp_path / "log")])
     capsys.readouterr()
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -88,14 +88,14 @@
         await asyncio.sleep(6.0)
         leader = leader_of(cluster)
         commit = leader.node.store.commit
-        late_slots = []
+        interrupted_slots = []
 
         async def commit_with_fault(conditions, writes):
-            if late_slots or not any(
+            if interrupted_slots or not any(
                 key.startswith(keys.ALLOCATION) and not version for key, version in conditions.items()
             ):
                 return await commit(conditions, writes)
-            late_slots.append(max(slots_of(checker)) + 1)
+            interrupted_slots.append(max(slots_of(checker)) + 1)
             if moment == "frozen":
                 leader.frozen_until = cluster.now() + 2.5 * SLOT_S
                 await asyncio.sleep(0.1)  # the transaction is sent when the process resumes
@@ -115,15 +115,15 @@
         await asyncio.sleep(2 * SLOT_S)
         begin = cluster.now() + FAILOVER_S
         await asyncio.sleep(60.0)
-        return cluster, checker, late_slots, begin
+        return cluster, checker, interrupted_slots, begin
 
-    cluster, checker, late_slots, begin = virtual_time.run(main())
-    assert late_slots
+    cluster, checker, interrupted_slots, begin = virtual_time.run(main())
+    assert interrupted_slots
     assert checker.verify() == []
     assert cluster.checker.broken == []
     assert max(checker.admission_waits_s("wk-9", begin)) <= ADMISSION_BOUND_S
     after = checker.allocation(slots_of(checker)[-1])
-    assert after.slot > late_slots[0] + 2
+    assert after.slot > interrupted_slots[0] + 2
     terms = {checker.allocation(slot).term for slot in slots_of(checker)}
     assert len(terms) == (1 if moment == "answer_lost" else 2)
 
@@ -221,8 +221,8 @@
             sim.node.admission.grants.incarnation = -1
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
         polls = [(await cluster.ask("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
-        fresh = cluster.job(INTERACTIVE + 1, shelfmark="look")
-        asked = cluster.spawn(submit(cluster, checker, fresh))
+        new_job = cluster.job(INTERACTIVE + 1, shelfmark="look")
+        asked = cluster.spawn(submit(cluster, checker, new_job))
         await asyncio.sleep(2.0)
         assert not asked.done()
         return retries, polls, await cluster.cancel(spec["ref"])
@@ -258,21 +258,21 @@
     assert slot >= delayed_at[0] // SLOT_S + 2  # admitted in a later slot, against its grant
 
 
-@pytest.mark.parametrize("on", [(False, True, True), (True, False, False), (False, False, True)])
-def test_controllers_of_which_some_have_admission_off(on):
+@pytest.mark.parametrize("admission_on", [(False, True, True), (True, False, False), (False, False, True)])
+def test_controllers_of_which_some_have_admission_off(admission_on):
     """Rolling restarts: controllers with admission on admit without grants while the leader has it off."""
 
     async def main():
         cluster, checker = overloaded_cluster(8, admission=None)
-        rolled = [1, 2, 0]
+        restart_order = [1, 2, 0]
         interactive = SubmissionLoad(cluster, checker, INTERACTIVE, shelfmark="look", precedence="prod")
         cluster.spawn(interactive.run(1.0, 90.0))
         await asyncio.sleep(WARM_UP_S)
-        for number in rolled:  # from admission off to the settings of this case
-            cluster.admission[number] = ADMISSION if on[number] else None
+        for number in restart_order:  # from admission off to the settings of this case
+            cluster.admission[number] = ADMISSION if admission_on[number] else None
             await cluster.crash([f"n{number}"], 1.0)
             await asyncio.sleep(FAILOVER_S)
-        for number in rolled:  # and back to admission off
+        for number in restart_order:  # and back to admission off
             cluster.admission[number] = None
             await cluster.crash([f"n{number}"], 1.0)
             await asyncio.sleep(FAILOVER_S)
@@ -321,10 +321,10 @@
     return cluster, checker
 
 
-@pytest.mark.parametrize("first", range(0, 200, 10))
-def test_histories_of_faults(first):
+@pytest.mark.parametrize("first_seed", range(0, 200, 10))
+def test_histories_of_faults(first_seed):
     """In ten random histories each: one allocation per slot, no admission beyond a grant, no user rule broken."""
-    for seed in range(first, first + 10):
+    for seed in range(first_seed, first_seed + 10):
         cluster, checker = virtual_time.run(run_history(seed))
         assert checker.verify() == [], seed
         assert cluster.checker.broken == [], seed
