--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -1,4 +1,4 @@
-"""Placement of gangs: all tasks of a gang start together, or none does."""
+"""Placement of gangs: either all tasks of a gang start together, or none of them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class GangShape(NamedTuple):
-    """The properties of a gang that decide, along with its number of tasks, where it fits."""
+    """The properties of a gang that decide, together with its number of tasks, where it fits."""
 
     resources: Resources
     machine_types: tuple[str, ...] | None
@@ -27,19 +27,19 @@
 
     @classmethod
     def of(cls, spec: JobSpec) -> GangShape:
-        """The shape of a gang."""
-        return cls(spec.resources, spec.types, spec.zone, spec.allows_spot, spec.single_zone)
+        """Return the shape of a gang."""
+        return cls(spec.resources, spec.machine_types, spec.zone, spec.allows_spot, spec.single_zone)
 
 
 class GangOption(NamedTuple):
-    """Machines for all tasks of a gang, in the order of its tasks, and their cost in seconds."""
+    """Machines for all tasks of a gang, in the order of its tasks, and the cost of placing it there."""
 
-    cost: float
+    cost_s: float
     machines: list[Machine]
 
 
 class GangPlacement:
-    """Places gangs, and holds machines for those that starve."""
+    """Places gangs, and has machines held for starving gangs."""
 
     def __init__(
         self,
@@ -56,19 +56,19 @@
         self.holds = holds
         self.scorer = scorer
         self.starvation_holds = starvation_holds
-        self._unschedulable_shapes: dict[GangShape, int] = {}  # each with the least number of tasks that didn't fit
+        self._unschedulable_shapes: dict[GangShape, int] = {}  # by shape, the least number of tasks that didn't fit
 
     def begin_pass(self) -> None:
-        """Drop what the last pass found."""
+        """Clear the results of the last pass."""
         self._unschedulable_shapes = {}
 
     def place(self, job: Job, now: float) -> list[TaskAttempt]:
-        """Start all tasks of the gang; returns their attempts, none when the gang doesn't fit."""
+        """Start all tasks of the gang and return their attempts; none when the gang doesn't fit."""
         spec = job.spec
         shape = GangShape.of(spec)
         unschedulable_size = self._unschedulable_shapes.get(shape)
         if unschedulable_size is not None and spec.tasks >= unschedulable_size and not self.holds.exist_for(job):
-            self.starvation_holds.renew(job, now)
+            self.starvation_holds.hold_machines(job, now)
             return []
         if self.quotas.has_orphans(job) or not self.quotas.allows(job, spec.tasks):
             return []
@@ -76,7 +76,7 @@
         if option is None:
             smallest = spec.tasks if unschedulable_size is None else min(spec.tasks, unschedulable_size)
             self._unschedulable_shapes[shape] = smallest
-            self.starvation_holds.renew(job, now)
+            self.starvation_holds.hold_machines(job, now)
             return []
         return self._start(job, option.machines, now)
 
@@ -84,12 +84,12 @@
         best: GangOption | None = None
         for zone in self.capacity.zones_to_try(job.spec):
             option = self._option_in(zone, job, now)
-            if option is not None and (best is None or option.cost < best.cost):
+            if option is not None and (best is None or option.cost_s < best.cost_s):
                 best = option
         return best
 
     def _option_in(self, zone: str | None, job: Job, now: float) -> GangOption | None:
-        """The cheapest machines in a zone; the gang starts when the last of them has fetched the image."""
+        """Return the cheapest machines in a zone; the gang starts once the slowest of them has the image."""
         spec = job.spec
         machines: list[Machine] = []
         longest_fetch = total_cost = 0.0
@@ -113,6 +113,6 @@
         for index, machine in enumerate(machines):
             self.capacity.allocate(machine, job.spec.resources)
             self.holds.release(machine.name)
-            started.append(self.job_table.start(job, index, machine, attempt_number, now))
-        job.advance_first_waiting()
+            started.append(self.job_table.add_attempt(job, index, machine, attempt_number, now))
+        job.advance_first_waiting_index()
         return started
