--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -42,7 +42,9 @@
         this one is sent everybody joins it, so that there is never more than one.
         """
         requests = self.store.requests
-        return min(READ_WAIT_S, requests.time_until_available(monotonic_time(), keep=requests.burst * COMMIT_SHARE))
+        return min(
+            READ_WAIT_S, requests.time_until_available(monotonic_time(), reserved=requests.burst * COMMIT_SHARE)
+        )
 
     async def _read(self) -> bool:
         await asyncio.sleep(max(self.gap_s, self._budget_wait_s()))
--- a/src/passrock/core/concurrency_limiter.py
+++ b/src/passrock/core/concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""Admission of requests by their number in progress, with a limit that adapts to measured latencies."""
+"""Limiting of concurrent requests, with a limit that adapts to measured latencies."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 MIN_RETRY_AFTER_S = 1
 MAX_RETRY_AFTER_S = 30
-BASELINE_DRIFT = 0.002  # per request, by which the baseline follows higher latencies
-DECREASE_FACTOR = 0.95
-CONGESTED_LATENCY_FACTOR = 2  # times the baseline: from there on a latency indicates a queue
+BASELINE_DRIFT_FRACTION = 0.002  # of the difference to a higher latency, by which each request raises the baseline
+DECREASE_RATIO = 0.95
+CONGESTED_LATENCY_RATIO = 2  # of the baseline; a higher latency indicates a queue
 
 
 class AdaptiveConcurrencyLimiter:
     """A limit on requests in progress: additive increase, multiplicative decrease.
 
-    The baseline, the lowest recent latency, is taken for that of a service without a queue. While requests take
-    about that long and the limit is nearly reached, each of them raises the limit by one; a request that fails or
-    takes more than twice as long lowers it. Safe to use from several threads.
+    The baseline, the lowest recent latency, is taken for the latency of a service without a queue. While latencies
+    are near the baseline and the limit is nearly reached, each request raises the limit by one; a request that fails
+    or takes more than twice the baseline lowers it. Safe to use from several threads.
 
     Args:
-        initial: the limit to begin with, in requests.
-        minimum: the least limit.
-        maximum: the greatest limit.
+        initial: the initial limit, in concurrent requests.
+        minimum: the lowest limit.
+        maximum: the highest limit.
         slack_s: seconds by which a latency may exceed the baseline before it counts as higher.
     """
 
@@ -35,7 +35,7 @@
         self._lock = Lock()
 
     def try_acquire(self) -> bool:
-        """Begin a request, unless the limit is reached; each success needs one ``release``."""
+        """Begin a request unless the limit is reached; each success requires one ``release``."""
         with self._lock:
             if self.in_progress >= int(self.limit):
                 return False
@@ -48,25 +48,25 @@
             return self.in_progress >= int(self.limit)
 
     def release(self, latency_s: float, *, failed: bool) -> None:
-        """End a request and adapt the limit."""
+        """End a request, and adapt the limit to its latency and outcome."""
         with self._lock:
             is_nearly_full = self.in_progress >= int(self.limit) - 1
             self.in_progress -= 1
             baseline_s = self._update_baseline(latency_s)
-            if failed or latency_s > CONGESTED_LATENCY_FACTOR * baseline_s + self.slack_s:
-                self.limit = max(float(self.minimum), self.limit * DECREASE_FACTOR)
+            if failed or latency_s > CONGESTED_LATENCY_RATIO * baseline_s + self.slack_s:
+                self.limit = max(float(self.minimum), self.limit * DECREASE_RATIO)
             elif is_nearly_full and latency_s <= baseline_s + self.slack_s:
                 self.limit = min(float(self.maximum), self.limit + 1.0)
 
     def retry_after(self) -> int:
-        """Seconds after which a rejected user should retry."""
+        """Return the seconds after which a rejected user should retry."""
         with self._lock:
-            wait = MIN_RETRY_AFTER_S + self.in_progress * (self._baseline_s or 0.0)
-        return int(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait)))
+            wait_s = MIN_RETRY_AFTER_S + self.in_progress * (self._baseline_s or 0.0)
+        return int(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
 
     def _update_baseline(self, latency_s: float) -> float:
         if self._baseline_s is None or latency_s < self._baseline_s:
             self._baseline_s = latency_s
         else:
-            self._baseline_s += (latency_s - self._baseline_s) * BASELINE_DRIFT
+            self._baseline_s += (latency_s - self._baseline_s) * BASELINE_DRIFT_FRACTION
         return self._baseline_s
--- a/src/passrock/core/image_hints.py
+++ b/src/passrock/core/image_hints.py
@@ -1,7 +1,7 @@
-"""Stored hints on which machine has which images, for a leader that has not received their heartbeats yet.
+"""Stored hints on which machines have which images, for a new leader that has not received their heartbeats yet.
 
 A record is ``{"i": [[image, size in GB], ...], "m": {machine: [position of an image in "i", ...]}}``; a machine's
-images are in the order of their last use.
+images are ordered by last use, least recently used first.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def encode_image_hints(machines: Iterable[Machine], max_machines: int) -> list[dict[str, Any]]:
-    """Records of up to ``max_machines`` machines each, sorted by name; machines without images are left out."""
+    """Return records of up to ``max_machines`` machines each, sorted by name; machines without images are omitted."""
     with_images = sorted((machine for machine in machines if machine.images), key=lambda machine: machine.name)
     return [
         _encode_record(with_images[first : first + max_machines])
@@ -31,7 +31,7 @@
 
 
 def decode_image_hints(record: dict[str, Any]) -> dict[str, dict[str, float]]:
-    """The images of each machine with their sizes in GB, least recently used first.
+    """Return the images of each machine with their sizes in GB, least recently used first.
 
     Raises:
         KeyError: if the record lacks a field.
--- a/src/passrock/core/instants.py
+++ b/src/passrock/core/instants.py
@@ -1,8 +1,8 @@
-"""Points on the monotonic clock, in seconds, as the decisions compare them."""
+"""Special times of the monotonic clock, in seconds."""
 
 from __future__ import annotations
 
 import math
 from typing import Final
 
-NEVER: Final = -math.inf  # before every other time: the event has not happened
+NEVER: Final = -math.inf  # earlier than every other time: the event has not occurred
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -1,4 +1,4 @@
-"""The binding round: which machine is assigned to which team's reservation."""
+"""The binding round: assigns machines to the teams' reservations."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 import msgspec
 
-MIN_SHORTFALL = 1e-6  # smaller differences are rounding errors
-JSON_NAME_OVERHEAD_BYTES = 3  # quotes and a comma
+MIN_SHORTFALL = 1e-6  # in relative resource units; smaller differences are rounding errors
+JSON_NAME_OVERHEAD_BYTES = 3  # two quotes and a comma
 
 
 class MachineView(msgspec.Struct, frozen=True):
-    """A machine as the round sees it.
+    """A machine as input of a binding round.
 
     Attributes:
-        size: its capacity in relative resource units.
-        idle: whether no task runs there.
-        teams: whose tasks run there.
+        size: the capacity in relative resource units.
+        idle: whether no task runs on the machine.
+        teams: the teams whose tasks run on the machine.
     """
 
     name: str
@@ -27,11 +27,11 @@
 
 
 class ReservationRequest(msgspec.Struct, frozen=True):
-    """The capacity that a team asks for, in relative resource units.
+    """The capacity that a team requests, in relative resource units.
 
     Attributes:
-        guaranteed: the part of ``desired`` that comes before any other team's further demand.
-        buffered: what must be left when the largest zone is lost.
+        guaranteed: the part of ``desired`` that takes precedence over demand of other teams beyond their guarantees.
+        buffered: the capacity that must remain when the zone with the most of the reservation's capacity is lost.
     """
 
     team: str
@@ -41,14 +41,14 @@
 
 
 class BindingResult(msgspec.Struct):
-    """The outcome of a round: the team of each assigned machine, and the shortfall of each team that has one."""
+    """The result of a round: the team of each assigned machine, and the shortfall of each team that has one."""
 
     assignments: dict[str, str] = msgspec.field(default_factory=dict)
     shortfalls: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 def split_into_pages(names: list[str], max_bytes: float) -> list[list[str]]:
-    """Split a reservation's machines into pages that each fit a stored record; returns at least one page."""
+    """Split the names of a reservation's machines into pages that each fit a record; returns at least one page."""
     pages: list[list[str]] = [[]]
     page_bytes = 0
     for name in names:
@@ -64,12 +64,13 @@
 class FreeMachinePool:
     """Free machines grouped by zone and size, in the order in which they are assigned.
 
-    Machines of one group differ only in that order, so that a round compares the groups' first machines instead
-    of all of them.
+    Machines of one group differ only in that order, so a round compares the groups' first machines instead of all
+    machines.
     """
 
     def __init__(self, machines: Iterable[MachineView]) -> None:
-        self._groups: dict[tuple[str, float], list[MachineView]] = {}  # the first to assign is last in its list
+        # by zone and size; the next machine to assign is last in its list
+        self._groups: dict[tuple[str, float], list[MachineView]] = {}
         for machine in machines:
             group = self._groups.setdefault((machine.zone, machine.size), [])
             group.append(machine)
@@ -77,7 +78,7 @@
             group.sort(key=lambda machine: (not machine.idle, machine.name), reverse=True)
 
     def candidates(self, assigned: Container[str]) -> Iterator[MachineView]:
-        """The first machine of each group that is not among the ``assigned`` ones."""
+        """Yield the first machine of each group that is not in ``assigned``."""
         for group in self._groups.values():
             while group and group[-1].name in assigned:
                 group.pop()
@@ -96,46 +97,49 @@
         self.capacity = 0.0
 
     def assign(self, machine: MachineView) -> None:
-        """Add a machine."""
+        """Assign a machine to this reservation."""
         size = machine.size
         self.machines[machine.name] = machine
         self.capacity_by_zone[machine.zone] = self.capacity_by_zone.get(machine.zone, 0.0) + size
         self.capacity += size
 
     def release(self, machine: MachineView) -> None:
-        """Remove a machine."""
+        """Release a machine from this reservation."""
         size = machine.size
         del self.machines[machine.name]
         self.capacity_by_zone[machine.zone] -= size
         self.capacity -= size
 
     def target_capacity(self) -> float:
-        """The capacity that satisfies the request: losing the largest zone leaves the buffered part."""
+        """Return the capacity that satisfies the request, also when the zone with the most capacity is lost."""
         request = self.request
         if self.zone_count < 2 or request.buffered <= 0:
             return request.desired
         return max(request.desired, request.buffered + max(self.capacity_by_zone.values()))
 
     def shortfall(self, *, guaranteed_only: bool = False) -> float:
-        """The capacity that is lacking, of the guaranteed part alone or of all; negative for a surplus."""
+        """Return the missing capacity, of the guaranteed part or of the whole request; negative for a surplus."""
         if guaranteed_only:
             return min(self.request.guaranteed, self.request.desired) - self.capacity
         return self.target_capacity() - self.capacity
 
     def release_surplus(self) -> list[MachineView]:
-        """Release what exceeds the target, idle machines first and of those the ones in the largest zone.
+        """Release machines beyond the target, and return them.
 
-        A machine that runs the team's own tasks is never moved for balance alone.
+        Idle machines are released first, and of those the ones in the zone with the most capacity. A machine that
+        runs the team's own tasks is never released only to balance the zones.
         """
         groups = self._releasable()
         released: list[MachineView] = []
         while True:
             target = self.target_capacity()
-            surplus = [group[-1] for group in groups.values() if group and self.capacity - group[-1].size >= target]
-            if not surplus:
+            candidates = [
+                group[-1] for group in groups.values() if group and self.capacity - group[-1].size >= target
+            ]
+            if not candidates:
                 return released
             machine = max(
-                surplus,
+                candidates,
                 key=lambda candidate: (candidate.idle, self.capacity_by_zone[candidate.zone], candidate.name),
             )
             groups[(machine.zone, machine.size)].pop()
@@ -143,18 +147,18 @@
             released.append(machine)
 
     def _releasable(self) -> dict[tuple[str, float], list[MachineView]]:
-        """Machines without the team's tasks by zone and size; the last one of each group is released first."""
-        foreign = [machine for machine in self.machines.values() if self.request.team not in machine.teams]
+        """Return machines without the team's tasks by zone and size; the last one of each group is released first."""
+        releasable = [machine for machine in self.machines.values() if self.request.team not in machine.teams]
         groups: dict[tuple[str, float], list[MachineView]] = {}
-        for machine in sorted(foreign, key=lambda candidate: (candidate.idle, candidate.name)):
+        for machine in sorted(releasable, key=lambda candidate: (candidate.idle, candidate.name)):
             groups.setdefault((machine.zone, machine.size), []).append(machine)
         return groups
 
-    def best_of(self, candidates: Iterable[MachineView], zone_share: float | None) -> MachineView:
-        """The machine to assign next.
+    def preferred_machine(self, candidates: Iterable[MachineView], zone_share: float | None) -> MachineView:
+        """Return the machine to assign next.
 
-        It keeps its zone within ``zone_share`` of the desired capacity (None: no limit), runs the team's tasks
-        already, is in the zone with the least capacity, and is idle; in this order.
+        In this order of precedence, the machine keeps its zone within ``zone_share`` of the desired capacity (None:
+        no limit), already runs the team's tasks, is in the zone with the least capacity, and is idle.
         """
         limit = None if zone_share is None else zone_share * max(self.request.desired, 1.0)
 
@@ -181,16 +185,17 @@
 ) -> BindingResult:
     """Compute one binding round.
 
-    Assignments that are still needed are kept, surplus machines are released, and each free machine is assigned to
-    the reservation with the largest shortfall: first for the guaranteed capacity of all teams, then for the rest.
+    Assignments that are still needed are kept, surplus machines are released, and free machines are assigned one by
+    one to the reservation with the largest shortfall: first for the guaranteed capacity of all teams, then for the
+    rest.
 
     Args:
-        machines: all that can be assigned.
-        requests: one for each team.
-        current: the team of each assigned machine, as the last round left it.
+        machines: all machines that can be assigned.
+        requests: one request for each team.
+        current: the team of each assigned machine after the last round.
         zones: all zones of the cluster.
-        extra_zone_share: by how much a zone's share of a reservation may exceed an even spread over the zones
-            but one.
+        extra_zone_share: by how much a zone's share of a reservation may exceed an even spread over all zones but
+            one.
     """
     reservations = {request.team: ReservationState(request, zones) for request in requests}
     free = _restore_assignments(machines, current, reservations)
@@ -211,7 +216,7 @@
 def _restore_assignments(
     machines: list[MachineView], current: dict[str, str], reservations: dict[str, ReservationState]
 ) -> dict[str, MachineView]:
-    """Put the last round's assignments into the reservations; returns the machines that are in none."""
+    """Assign the last round's machines to the reservations again; returns the machines that are in none."""
     by_name = {machine.name: machine for machine in machines}
     free = dict(by_name)
     for name, team in current.items():
@@ -225,7 +230,7 @@
 def _assign_free_machines(
     reservations: dict[str, ReservationState], free: dict[str, MachineView], zone_share: float | None
 ) -> None:
-    """Assign the free machines one by one, until none is left or no reservation has a shortfall."""
+    """Assign free machines one by one, until none is left or no reservation has a shortfall."""
     pool = FreeMachinePool(free.values())
     pool_of_team = {
         team: FreeMachinePool(machine for machine in free.values() if team in machine.teams) for team in reservations
@@ -243,6 +248,6 @@
             if shortfall <= MIN_SHORTFALL:
                 break
             candidates = (*pool_of_team[team].candidates(assigned), *pool.candidates(assigned))
-            machine = reservations[team].best_of(candidates, zone_share)
+            machine = reservations[team].preferred_machine(candidates, zone_share)
             reservations[team].assign(machine)
             assigned.add(machine.name)
--- a/tests/test_binding_rounds.py
+++ b/tests/test_binding_rounds.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the binding round."""
+"""The binding round, and the shortfall after the loss of a zone."""
 
 import json
 
@@ -11,12 +11,12 @@
 
 
 def machine_views(text):
-    """``a1 b1* ...``: machines by zone; a star marks a busy one, ``=t`` the team that runs there."""
+    """Parse ``a b* c*=t``: machines by zone; ``*`` marks a busy machine, ``=t`` the team whose tasks run there."""
     views = []
-    for number, word in enumerate(text.split()):
-        word, _, team = word.partition("=")
-        name, teams = f"{word.strip('*')}-{number}", frozenset([team] if team else [])
-        views.append(MachineView(name, zone=word[0], size=1.0, idle="*" not in word, teams=teams))
+    for number, field in enumerate(text.split()):
+        field, _, team = field.partition("=")
+        name, teams = f"{field.strip('*')}-{number}", frozenset([team] if team else [])
+        views.append(MachineView(name, zone=field[0], size=1.0, idle="*" not in field, teams=teams))
     return views
 
 
@@ -29,14 +29,14 @@
     [
         # each request: team, desired, guaranteed and buffered capacity
         ("a b c", [("x", 2, 0)], ZONES, {"x": 2}),
-        ("a b c", [("x", 2, 0, 2)], ZONES, {"x": 3}),  # losing any zone leaves two
+        ("a b c", [("x", 2, 0, 2)], ZONES, {"x": 3}),  # the loss of any zone leaves two
         ("a a a a", [("x", 2, 0, 2)], ("a",), {"x": 2}),  # one zone: no buffer
-        ("a b", [("x", 2, 0), ("y", 2, 2)], ZONES, {"x": 0, "y": 2}),  # guarantees first
+        ("a b", [("x", 2, 0), ("y", 2, 2)], ZONES, {"x": 0, "y": 2}),  # guaranteed capacity first
         ("a b c", [("x", 2, 1), ("y", 2, 1)], ZONES, {"x": 2, "y": 1}),
         ("a b c", [("x", 0, 1)], ZONES, {"x": 0}),
     ],
 )
-def test_capacity_goes_to_the_reservations_that_lack_it(machines, requests, zones, expected):
+def test_machines_are_assigned_by_shortfall(machines, requests, zones, expected):
     requests = [ReservationRequest(*request) for request in requests]
     result = bind(machine_views(machines), requests, {}, zones, 0.1)
     counts = {request.team: count(result, request.team) for request in requests}
@@ -75,27 +75,32 @@
     assert zone_loss_shortfall(production, available, zones) == shortfall
 
 
-@pytest.mark.parametrize("names", [0, 1, 290, 900])
-def test_a_reservation_of_any_size_fits_its_records(names):
-    """A team's 450 machines once made a record larger than the key-value store takes, and it was never written."""
-    wanted = [f"host-{number:06d}" for number in range(names)]
-    found = split_into_pages(wanted, 4096 * 0.9)
-    assert [name for page in found for name in page] == wanted
-    assert found
-    assert all(len(json.dumps({"m": page}, separators=(",", ":"))) <= 4096 for page in found)
+@pytest.mark.parametrize("machine_count", [0, 1, 290, 900])
+def test_a_reservation_of_any_size_fits_its_records(machine_count):
+    """A record with a team's 450 machines exceeded the key-value store's limit on values, and was never written."""
+    names = [f"host-{number:06d}" for number in range(machine_count)]
+    pages = split_into_pages(names, 4096 * 0.9)
+    assert [name for page in pages for name in page] == names
+    assert pages
+    assert all(len(json.dumps({"m": page}, separators=(",", ":"))) <= 4096 for page in pages)
 
 
 def test_a_round_over_a_thousand_free_machines_is_short():
-    """The first round after a takeover without records; looking at every machine for each assignment took seconds."""
-    looked = 0
+    """The first round after a failover without reservation records took seconds.
 
-    class Counted(MachineView):
+    It compared all machines for each assignment.
+    """
+    size_reads = 0
+
+    class CountingMachineView(MachineView):
         def __getattribute__(self, name):
-            nonlocal looked
-            looked += name == "size"
+            nonlocal size_reads
+            size_reads += name == "size"
             return super().__getattribute__(name)
 
-    machines = [Counted(f"m{number:04d}", "abc"[number % 3], 1.0, number % 2 == 0) for number in range(1000)]
+    machines = [
+        CountingMachineView(f"m{number:04d}", "abc"[number % 3], 1.0, number % 2 == 0) for number in range(1000)
+    ]
     result = bind(machines, [ReservationRequest(f"t{n}", 100.0, 50.0, 60.0) for n in range(10)], {}, ZONES, 0.1)
     assert len(result.assignments) == 1000
-    assert looked < 50 * len(machines)
+    assert size_reads < 50 * len(machines)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -6,7 +6,7 @@
 from passrock.core.token_bucket import TokenBucket
 
 
-def test_limiter_follows_measured_times():
+def test_limiter_adapts_to_latencies():
     limiter = AdaptiveConcurrencyLimiter(initial=4, minimum=2, maximum=64, slack_s=0.01)
     assert [limiter.try_acquire() for _ in range(5)] == [True] * 4 + [False]
     for _ in range(4):
@@ -24,7 +24,7 @@
     assert 1 <= limiter.retry_after() <= 30
 
 
-def test_token_bucket_spreads_what_exceeds_the_rate():
+def test_token_bucket_delays_requests_beyond_the_rate():
     bucket = TokenBucket(10.0, 5.0)
     waits = [bucket.reserve(0.0, 1) for _ in range(8)]
     assert waits[:5] == [0.0] * 5
