--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -27,7 +27,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.core.model import JobSpec
-from passrock.core.records import GRANT_REFERENCE, AdmissionToken
+from passrock.core.records import GRANT_REFERENCE_FIELD, AdmissionToken
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.peers import PeerTable
 from passrock.io.store import KeyValueStoreClient
@@ -106,7 +106,7 @@
     def _accepted(self, job_id: str, entry: Entry) -> None:
         """A job's record: whichever controller accepted it, its user will not come again here."""
         self.admitter.demand.accepted_anywhere(job_id)
-        reference = entry.value.get(GRANT_REFERENCE)
+        reference = entry.value.get(GRANT_REFERENCE_FIELD)
         if isinstance(reference, list) and reference and isinstance(reference[0], int):
             spec = entry.value["s"]
             self.admitted.note(job_id, Flow(spec["t"], spec["c"]), reference[0])
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -14,7 +14,7 @@
 from passrock.controller.record_transaction import WRITES_PER_FINALIZATION, RecordTransaction
 from passrock.core.job import Job
 from passrock.core.job_table import JobTable
-from passrock.core.records import ATTEMPT_BYTES, CancellationRecord, FinalRecord, decode_record
+from passrock.core.records import MAX_ATTEMPT_BYTES, CancellationRecord, FinalRecord, decode_record
 from passrock.io.clock import monotonic_time, time_of_day
 from passrock.io.errors import StoreError, UnknownOutcomeError
 from passrock.io.store import Committed, KeyValueStoreClient
@@ -127,7 +127,7 @@
                 continue
             job = self.job_table.jobs[job_id]
             transaction.add_page(job, number)
-            bytes_left -= RECORD_BYTES + ATTEMPT_BYTES * len(job.pages[number].attempts)
+            bytes_left -= RECORD_BYTES + MAX_ATTEMPT_BYTES * len(job.pages[number].attempts)
 
     async def commit(self, transaction: RecordTransaction) -> bool:
         """Carry out one transaction; False when it has to be tried again later."""
--- a/src/passrock/controller/record_transaction.py
+++ b/src/passrock/controller/record_transaction.py
@@ -46,7 +46,7 @@
         """Write one page of a job's tasks."""
         page = job.pages[number]
         page_record = page.to_record()
-        record = JobRecord.of(job.spec, job.submitted_at, page_record) if number == 0 else page_record
+        record = JobRecord.from_spec(job.spec, job.submitted_at, page_record) if number == 0 else page_record
         key = keys.task_page(job.spec.id, number)
         self.conditions[key] = page.mod_revision
         self.writes.append(Put(key, encode_record(record)))
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -1,7 +1,7 @@
-"""The stored form of jobs and their tasks in the key-value store, and how much one record holds.
+"""The records of jobs and their tasks in the key-value store, and how much one record holds.
 
-A newer controller reads what an older one wrote during a rolling restart, hence the short stored names, their order
-and the types of the values stay as they are.
+During a rolling restart, a newer controller reads records that an older one wrote. Hence the short stored names,
+their order and the types of the values must not change.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 from passrock.core.model import JobKind, JobSpec, Priority, Resources
 
-ATTEMPT_BYTES = 44  # a recorded attempt at its longest, as JSON
-DESCRIPTION_BYTES = 1200  # kept free in a job's own record for all but its attempts
-OTHER_FIELDS_BYTES = 100  # of these, for all but the specification
-SPEC_BYTES = DESCRIPTION_BYTES - OTHER_FIELDS_BYTES  # the most that the specification may take
-LEAST_TASKS_PER_PAGE = 8
+MAX_ATTEMPT_BYTES = 44  # the longest attempt in a record, as JSON
+JOB_HEADER_BYTES = 1200  # reserved in a ``JobRecord`` for everything but its attempts
+OTHER_HEADER_FIELDS_BYTES = 100  # the part of these that is reserved for everything but the specification
+MAX_SPEC_BYTES = JOB_HEADER_BYTES - OTHER_HEADER_FIELDS_BYTES
+MIN_TASKS_PER_PAGE = 8
 DONE = "done"
 CANCELLED = "cancelled"
-GRANT_REFERENCE = "ad"  # the field of a job's first record with the grant that its admission token names
+GRANT_REFERENCE_FIELD = "ad"  # the field with the grant that the job's admission token names
 
 Record = TypeVar("Record", bound=msgspec.Struct)
 
 
 class UnreadableRecordError(Exception):
-    """A stored value that isn't a record of the expected kind."""
+    """A stored value is not a record of the expected kind."""
 
 
 class AdmissionToken(msgspec.Struct, frozen=True):
-    """What a submission's transaction depends on, and the grant that the job's first record names.
+    """The allocation record on which a submission's transaction depends, and the grant that the job's record names.
 
     Attributes:
-        key: of the record in the key-value store that the transaction compares.
-        mod_revision: a job is accepted only while that record has this revision.
+        key: the key of the record that the transaction compares.
+        mod_revision: the job is accepted only while that record has this revision.
         grant_reference: the slot and the incarnation of the controller whose grant was consumed.
     """
 
@@ -43,7 +43,7 @@
 
 
 class AttemptRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A task attempt that is, or may be, on a machine; stored as an array."""
+    """An attempt that is, or may be, on a machine; stored as an array."""
 
     number: int
     machine: str
@@ -53,11 +53,11 @@
 class TaskPageRecord(
     msgspec.Struct, frozen=True, rename={"attempt_number": "a", "completed_bitmap": "d", "attempts": "l"}
 ):
-    """One page of a job's tasks: all but the first page have a record of their own.
+    """One page of a job's tasks; the first page is stored in the ``JobRecord``.
 
     Attributes:
-        attempt_number: the highest number that any attempt on this page has had.
-        completed_bitmap: in hexadecimal; bit ``n`` stands for the ``n``-th task of the page.
+        attempt_number: the highest number of any attempt on this page so far.
+        completed_bitmap: the completed tasks, in hexadecimal; bit ``n`` stands for the ``n``-th task of the page.
         attempts: the attempts by the index of their task within the job.
     """
 
@@ -75,7 +75,7 @@
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Where tasks may be placed; stored as an array."""
+    """Constraints on the placement of tasks; stored as an array."""
 
     single_zone: bool
     spread_zones: bool
@@ -127,8 +127,8 @@
     deadline_s: float | None
 
     @classmethod
-    def of(cls, spec: JobSpec) -> JobSpecRecord:
-        """The stored form of ``spec``."""
+    def from_spec(cls, spec: JobSpec) -> JobSpecRecord:
+        """Return the stored form of ``spec``."""
         return cls(
             id=spec.id,
             job_class=spec.job_class,
@@ -147,7 +147,7 @@
         )
 
     def to_spec(self) -> JobSpec:
-        """The specification that this record stores."""
+        """Return the specification that this record stores."""
         return JobSpec(
             id=self.id,
             job_class=self.job_class,
@@ -179,16 +179,16 @@
         "attempt_number": "a",
         "completed_bitmap": "d",
         "attempts": "l",
-        "grant_reference": GRANT_REFERENCE,
+        "grant_reference": GRANT_REFERENCE_FIELD,
     },
 ):
-    """An unfinished job with its first page of tasks, whose fields are those of a ``TaskPageRecord``.
+    """An unfinished job with its first page of tasks; the page has the fields of a ``TaskPageRecord``.
 
     Attributes:
-        spec: what the user submitted.
+        spec: the specification that the user submitted.
         submitted_at: seconds since the epoch.
-        grant_reference: the grant that the submission's admission token names, if it needed one; only in the
-            job's first record.
+        grant_reference: the grant that the submission's admission token names, unset if the submission needed none;
+            only in the first version of the record, written at the submission.
     """
 
     spec: JobSpecRecord
@@ -199,10 +199,10 @@
     grant_reference: list[int] | msgspec.UnsetType = msgspec.UNSET
 
     @classmethod
-    def of(cls, spec: JobSpec, submitted_at: float, first_page: TaskPageRecord) -> JobRecord:
-        """The record of a job whose first tasks are in this state."""
+    def from_spec(cls, spec: JobSpec, submitted_at: float, first_page: TaskPageRecord) -> JobRecord:
+        """Return the record of a job whose first page is ``first_page``."""
         return cls(
-            JobSpecRecord.of(spec),
+            JobSpecRecord.from_spec(spec),
             submitted_at,
             first_page.attempt_number,
             first_page.completed_bitmap,
@@ -211,64 +211,68 @@
 
 
 class FinalRecord(msgspec.Struct, frozen=True, rename={"status": "s", "tasks": "n"}):
-    """How a job ended: ``DONE`` or ``CANCELLED``; its other records are deleted."""
+    """The final status of a job, ``DONE`` or ``CANCELLED``; its other records are deleted."""
 
     status: str
     tasks: int
 
 
 class CancellationRecord(msgspec.Struct, frozen=True, rename={"requested_at": "at"}):
-    """A cancellation that a user asked for, in seconds since the epoch: before it was confirmed."""
+    """A user's request to cancel a job, in seconds since the epoch; written before the cancellation is confirmed."""
 
     requested_at: float
 
 
 def encode_record(record: msgspec.Struct) -> dict[str, Any]:
-    """A record as the plain mapping that the key-value store holds."""
+    """Return a record as the plain mapping that the key-value store holds."""
     value: dict[str, Any] = msgspec.to_builtins(record, str_keys=True)
     return value
 
 
 def decode_record(value: object, kind: type[Record]) -> Record:
-    """A stored value as a record of this kind; raises UnreadableRecordError when it isn't one."""
+    """Return a stored value as a record of this kind.
+
+    Raises:
+        UnreadableRecordError: if the value is not such a record.
+    """
     try:
         return msgspec.convert(value, kind, str_keys=True)
-    except msgspec.ValidationError as error:
-        raise UnreadableRecordError(f"{kind.__name__}: {error}") from error
+    except msgspec.ValidationError as exc:
+        raise UnreadableRecordError(f"stored value is not a valid {kind.__name__}: {exc}") from exc
 
 
 def new_job_record(spec: JobSpec, submitted_at: float, grant_reference: list[int] | None = None) -> JobRecord:
-    """The first record of an accepted job, with the grant that its admission token names if it needed one."""
-    record = JobRecord.of(spec, submitted_at, TaskPageRecord(0, "0", {}))
+    """Return the first record of an accepted job, with the grant that its admission token names if it needed one."""
+    record = JobRecord.from_spec(spec, submitted_at, TaskPageRecord(0, "0", {}))
     return record if grant_reference is None else msgspec.structs.replace(record, grant_reference=grant_reference)
 
 
 class TaskCounts(NamedTuple):
-    """How many tasks of a page have completed, and how many have an attempt on a machine."""
+    """The number of a page's tasks that have completed, and of those with an attempt on a machine."""
 
     completed: int
     placed: int
 
 
 def count_tasks(value: dict[str, Any]) -> TaskCounts:
-    """The counts of a stored job's first page, or of a further page.
+    """Return the counts of a page, from the stored value of a ``JobRecord`` or a ``TaskPageRecord``.
 
-    Users ask often: only the two fields are read, without decoding every attempt of a large job.
+    Users query often, hence only the two fields are read, without decoding every attempt of a large job.
     """
     return TaskCounts(int(value["d"], 16).bit_count(), len(value["l"]))
 
 
 def total_tasks(value: dict[str, Any]) -> int:
-    """The total number of tasks of a stored job; like ``count_tasks``, without decoding the record."""
+    """Return a job's total number of tasks from its stored value, without decoding the whole record."""
     tasks: int = value["s"]["n"]
     return tasks
 
 
 def tasks_per_page(value_bytes: int) -> int:
-    """How many tasks one record of at most ``value_bytes`` holds besides the job's own specification."""
-    return max(LEAST_TASKS_PER_PAGE, int((value_bytes - DESCRIPTION_BYTES) / ATTEMPT_BYTES))
+    """Return how many tasks one record of at most ``value_bytes`` holds besides the job's specification."""
+    return max(MIN_TASKS_PER_PAGE, int((value_bytes - JOB_HEADER_BYTES) / MAX_ATTEMPT_BYTES))
 
 
 def fits_record(spec: JobSpec) -> bool:
     """Whether the specification is short enough for its record."""
-    return len(msgspec.json.encode(JobSpecRecord.of(spec))) <= SPEC_BYTES
+    return len(msgspec.json.encode(JobSpecRecord.from_spec(spec))) <= MAX_SPEC_BYTES
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -13,7 +13,7 @@
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire import allocation_record
 from passrock.controller import keys
-from passrock.core.records import GRANT_REFERENCE
+from passrock.core.records import GRANT_REFERENCE_FIELD
 from passrock.io.errors import UnknownOutcomeError
 from passrock.io.peer_messages import frame
 from standins import virtual_time
@@ -301,7 +301,7 @@
     assert checker.pages == {}
     assert checker.unmarked == 1
     assert b"extensions" not in frame(heartbeat)
-    assert all(GRANT_REFERENCE not in record for record in records if isinstance(record, dict))
+    assert all(GRANT_REFERENCE_FIELD not in record for record in records if isinstance(record, dict))
 
 
 async def history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -61,7 +61,7 @@
 def test_submission_and_record_round_trip():
     spec = users.parse_submission(body(unknownField=1, branch=..., bindings=["box"]))
     assert (spec.id, spec.zone, spec.types, spec.deadline_s) == ("wk-000412", None, ("box",), 900.0)
-    assert JobSpecRecord.of(spec).to_spec() == spec
+    assert JobSpecRecord.from_spec(spec).to_spec() == spec
     job = JobTable(50).load(new_job_record(spec, 12.5), 7, 100.0, 20.0)
     assert (job.spec, job.submitted_at, job.page(0).mod_revision, job.waiting, job.submitted_at_monotonic) == (
         spec,
