--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -110,7 +110,7 @@
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
         if self.renewal.may_launch():
-            commands += self.reconciler.late_launches(machine, heartbeat)
+            commands += self.reconciler.newly_committed_launches(machine, heartbeat)
         machine.last_answer_at = monotonic_time()
         return commands
 
@@ -126,5 +126,5 @@
             task=ended.attempt.index,
             attempt=ended.attempt.number,
             machine=machine.name,
-            reason=ended.reason + ("+saved" if ended.saved else ""),
+            reason=ended.reason + ("+saved" if ended.checkpoint_saved else ""),
         )
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -9,7 +9,7 @@
 from passrock.controller import keys
 from passrock.controller.replica import Replica
 from passrock.core.instants import NEVER
-from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
+from passrock.core.machine_health import CLOCK_DRIFT_RATIO
 from passrock.io.clock import monotonic_time
 from passrock.io.errors import LeaseExpiredError, StoreError, UnknownOutcomeError
 from passrock.io.peer_messages import PeerHeartbeat
@@ -151,7 +151,7 @@
 
     def _deadline(self, started: float) -> float:
         """Until when a lease that was granted or renewed by a request sent at ``started`` lives by any clock."""
-        return started + self.lease_ttl_s / CLOCK_DRIFT_FACTOR
+        return started + self.lease_ttl_s / CLOCK_DRIFT_RATIO
 
     async def _campaign_if_free(self) -> None:
         if not self.replica.loaded or monotonic_time() < self._campaign_not_before:
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -232,7 +232,7 @@
             if row.name in self.inventory.deleted or machine_type is None:
                 continue
             known = row.name in self.inventory.machines
-            machine = self.inventory.add(row.name, machine_type, row.zone, spot=row.spot, now=now, age=row.age)
+            machine = self.inventory.add(row.name, machine_type, row.zone, spot=row.spot, now=now, age_s=row.age_s)
             if not known:
                 info("machine_discovered", machine=row.name, zone=row.zone, spot=row.spot, status=row.status)
                 self.on_change()
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from passrock.controller.leadership import Leadership
-from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
+from passrock.core.machine_health import CLOCK_DRIFT_RATIO
 from passrock.io.clock import monotonic_time
 from passrock.io.peers import PeerTable, is_majority
 
@@ -31,4 +31,4 @@
         term = self.leadership.term
         votes = 1 + sum(1 for heartbeat in self.peers.heartbeats() if heartbeat.term >= term)
         if is_majority(votes, self.nodes):
-            self.confirmed_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_FACTOR
+            self.confirmed_at = monotonic_time() + self.peers.support_s * CLOCK_DRIFT_RATIO
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -47,7 +47,7 @@
         lost = self.lost_workers
         known_term = self.leadership.known_term
         if token and not self.leadership.leading:
-            lost.record_visit(machine, token, leader, known_term, now)
+            lost.record_contact(machine, token, leader, known_term, now)
         same_leader_as_lost = leader is None or (leader == lost.leader and known_term <= lost.leader_term)
         if same_leader_as_lost and lost.should_avoid_leader(machine, now):
             return lost.next_follower(self._followers(now), self.node)
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from passrock.core.instants import NEVER
-from passrock.core.machine_health import CLOCK_DRIFT_FACTOR
+from passrock.core.machine_health import CLOCK_DRIFT_RATIO
 
 
 def renewal_horizon(cancel_s: float, lease_s: float, heartbeat_interval_s: float) -> float:
@@ -24,7 +24,7 @@
     By any clock, the lease expires at most ``lease_s`` after the renewal, and the tasks end with it; a heartbeat
     interval is left for the worker to notice. All tasks must have ended within ``cancel_s`` of the confirmation.
     """
-    return (cancel_s - lease_s * CLOCK_DRIFT_FACTOR - heartbeat_interval_s) / CLOCK_DRIFT_FACTOR
+    return (cancel_s - lease_s * CLOCK_DRIFT_RATIO - heartbeat_interval_s) / CLOCK_DRIFT_RATIO
 
 
 class LogSlice(NamedTuple):
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -1,4 +1,4 @@
-"""All machines of one leader term: records their heartbeats, and remembers the deleted ones."""
+"""The inventory: all machines of one leader term with their heartbeats, and the names of deleted machines."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from passrock.core.messages import WorkerHeartbeat
 from passrock.core.model import MachineType
 
-# Names of deleted machines that are remembered: far more than an outdated list of the cloud can still contain.
-DELETED_NAMES_KEPT = 10_000
-# An incarnation that has outlived this many leases since an unacknowledged answer must have received later ones.
-ACKNOWLEDGING_LEASES = 2
+# Names of deleted machines that are kept: far more than an outdated list of the cloud can still contain.
+MAX_DELETED_NAMES = 10_000
+# An incarnation that lasts for this many leases after an unacknowledged answer must have received later answers.
+ACKNOWLEDGEMENT_LEASES = 2
 
 
 class MachineInventory:
-    """The machines that one leader term knows, by name.
+    """The machines of one leader term.
 
     Attributes:
-        machines: all that are not known to be deleted.
-        deleted: when the deletion of a machine was confirmed; an outdated list or heartbeat doesn't add it again.
-        image_hints: images by machine, from an earlier leader's records, until the machine is first seen.
+        machines: by name, all machines whose deletion is not confirmed.
+        deleted: by name, when the deletion of a machine was confirmed; an outdated list or heartbeat must not add it
+            again.
+        image_hints: images by machine, from an earlier leader's records, until the machine is added.
     """
 
     def __init__(self, health: MachineHealth, term: int) -> None:
@@ -30,14 +31,14 @@
         self.image_hints: dict[str, dict[str, float]] = {}
 
     def add(
-        self, name: str, machine_type: MachineType, zone: str, *, spot: bool, now: float, age: float = 0.0
+        self, name: str, machine_type: MachineType, zone: str, *, spot: bool, now: float, age_s: float = 0.0
     ) -> Machine:
-        """Add a machine that was created ``age`` seconds ago; a known one stays as it is."""
+        """Return the machine of this name; add one that was created ``age_s`` seconds ago if there is none."""
         machine = self.machines.get(name)
         if machine is None:
-            created_at = now - age
+            created_at = now - age_s
             machine = Machine(name, machine_type, zone, spot=spot, requested_at=created_at)
-            # a machine older than this term could send this leader a heartbeat only since the term began
+            # a machine older than this term could send heartbeats to this leader only since the term began
             machine.last_heartbeat_at = max(self.health.observing_since, created_at)
             machine.last_answer_at = now
             machine.images.update(self.image_hints.pop(name, {}))
@@ -55,30 +56,32 @@
         machine = self.add(heartbeat.machine, machine_type, heartbeat.zone, spot=heartbeat.spot, now=now)
         if self._is_outdated(heartbeat, machine, now):
             return None
-        # the first heartbeat after missed ones may be a delayed one, whose answer reaches nobody
+        # the first heartbeat after missed ones may have been delayed, so that its answer reaches no worker
         machine.on_probation = machine.heartbeat_received and self.health.is_unresponsive(machine, now)
         if not machine.heartbeat_received:
             machine.heartbeat_received = True
             machine.first_heartbeat_at = machine.idle_since = now
         elif heartbeat.incarnation > machine.incarnation and now - machine.last_answer_at < self.health.lease_s:
-            machine.record_unacknowledged_answer(now)  # its lease expired although it was answered
+            # the worker's lease expired although its heartbeats were answered
+            machine.record_unacknowledged_answer(now)
         if (
             heartbeat.incarnation == machine.incarnation
-            and now - machine.last_unacknowledged_at > ACKNOWLEDGING_LEASES * self.health.max_lease_s
+            and now - machine.last_unacknowledged_at > ACKNOWLEDGEMENT_LEASES * self.health.max_lease_s
         ):
-            machine.unacknowledged_answers = 0  # an incarnation outlives a lease only if answers arrive again
+            # an incarnation lasts longer than a lease only if answers arrive again
+            machine.unacknowledged_answers = 0
         machine.acknowledged_term = machine.acknowledged_term or heartbeat.token == self.term
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.last_heartbeat_at = now
         machine.in_correlated_outage = False
-        if heartbeat.notice is not None:
-            machine.reclaim_at = now + heartbeat.notice
+        if heartbeat.reclaim_in_s is not None:
+            machine.reclaim_at = now + heartbeat.reclaim_in_s
         return machine
 
     def _is_outdated(self, heartbeat: WorkerHeartbeat, machine: Machine, now: float) -> bool:
-        """Whether a newer heartbeat was recorded before, or this one must have been delayed.
+        """Whether a newer heartbeat has already been recorded, or this one must have been delayed.
 
-        If the lease of the heartbeat's incarnation has expired, the worker is in its next incarnation by now.
+        If the lease of the heartbeat's incarnation has expired, the worker is in a later incarnation by now.
         """
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return True
@@ -89,12 +92,12 @@
         )
 
     def load_image_hints(self, images_by_machine: dict[str, dict[str, float]]) -> None:
-        """Keep an earlier leader's hints; machines get their images when they are first seen."""
+        """Keep an earlier leader's hints; a machine gets its images when it is added."""
         self.image_hints.update(images_by_machine)
 
     def record_deleted(self, name: str, now: float) -> None:
-        """Drop a machine that the cloud has deleted."""
+        """Remove a machine whose deletion the cloud has confirmed."""
         self.machines.pop(name, None)
         self.deleted[name] = now
-        while len(self.deleted) > DELETED_NAMES_KEPT:
+        while len(self.deleted) > MAX_DELETED_NAMES:
             self.deleted.pop(next(iter(self.deleted)))
--- a/src/passrock/core/lost_workers.py
+++ b/src/passrock/core/lost_workers.py
@@ -1,4 +1,4 @@
-"""Workers that contact a follower although they know the present term: they can no longer reach its leader."""
+"""Lost workers: they have the current term's fencing token, but contact a follower as they can't reach the leader."""
 
 from __future__ import annotations
 
@@ -7,12 +7,20 @@
 
 import msgspec
 
-FEW_WORKERS = 2  # up to this many lost workers are taken to have faults of their own, rather than the leader
-RETENTION_LEASES = 0.25  # a worker that has found a leader again is forgotten after this part of a lease
+# Up to this many lost workers are taken to have individual faults; with more, the leader is taken to be at fault.
+MAX_INDIVIDUAL_FAULTS = 2
+# A worker is no longer counted as lost this long after its last contact: it has reached a leader again.
+RETENTION_LEASES = 0.25
 
 
-class Visit(msgspec.Struct):
-    """When a worker first and last contacted this node instead of the leader (monotonic), and its last known term."""
+class WorkerContact(msgspec.Struct):
+    """A lost worker's contacts with this follower.
+
+    Attributes:
+        first_at: the time of the first contact, monotonic.
+        last_at: the time of the last contact, monotonic.
+        term: the fencing token in the last contact.
+    """
 
     first_at: float
     last_at: float
@@ -20,10 +28,10 @@
 
 
 class LostWorkers:
-    """The workers that contacted this follower lately, and whether they should avoid the leader.
+    """The workers that recently contacted this follower, and whether they should avoid the leader.
 
-    A worker that is sent back to a leader it can't reach waits there for most of its lease. So it is first
-    sent to another follower, for long enough that the leader can notice, step down and be replaced.
+    A worker that is redirected to a leader that it can't reach waits there for most of its lease. Hence it is first
+    redirected to another follower, for long enough that the leader can detect the fault, step down and be replaced.
 
     Args:
         heartbeat_interval_s: the interval at which workers send heartbeats.
@@ -31,53 +39,61 @@
         unresponsive_after_s: the time without a heartbeat after which the leader considers a worker unresponsive.
 
     Attributes:
-        leader: the last leader that a worker lost, None for none.
+        leader: the last leader that a worker could no longer reach; None when there was none.
         leader_term: the term of that leader.
     """
 
     def __init__(self, heartbeat_interval_s: float, lease_s: float, unresponsive_after_s: float) -> None:
         self.retention_s = lease_s * RETENTION_LEASES
-        self.few_avoid_s = heartbeat_interval_s  # how long one of few workers is kept away from the leader
-        # the same for one of many: by then the leader has noticed that their heartbeats are missing
-        self.many_avoid_s = unresponsive_after_s + heartbeat_interval_s
+        # how long a lost worker avoids the leader when the fault is taken to be its own
+        self.individual_fault_avoid_s = heartbeat_interval_s
+        # the same when the fault is taken to be the leader's: by then the leader counts these workers as unresponsive
+        self.leader_fault_avoid_s = unresponsive_after_s + heartbeat_interval_s
         self.leader: str | None = None
         self.leader_term = 0
-        self._visits: OrderedDict[str, Visit] = OrderedDict()  # by machine, the latest visit at the end
+        self._contacts: OrderedDict[str, WorkerContact] = OrderedDict()  # by machine, the latest contact at the end
+
+    def record_contact(self, machine: str, term: int, leader: str | None, leader_term: int, now: float) -> None:
+        """Record that a worker with fencing token ``term`` contacted this follower.
 
-    def record_visit(self, machine: str, term: int, leader: str | None, leader_term: int, now: float) -> None:
-        """Record that a worker that knows ``term`` came here; ``leader`` of ``leader_term`` is the last known one."""
+        ``leader`` and ``leader_term`` are the last known leader and its term.
+        """
         self._expire(now)
-        visit = self._visits.setdefault(machine, Visit(now, now, term))
-        visit.last_at, visit.term = now, term
-        self._visits.move_to_end(machine)
+        contact = self._contacts.setdefault(machine, WorkerContact(now, now, term))
+        contact.last_at, contact.term = now, term
+        self._contacts.move_to_end(machine)
         if leader is not None and term >= leader_term > self.leader_term:
             self.leader, self.leader_term = leader, leader_term
 
     def count(self, term: int, now: float) -> int:
-        """How many different workers that know this term came lately."""
+        """Return how many workers whose fencing token is ``term`` or higher have recently contacted this follower."""
         self._expire(now)
-        return sum(visit.term >= term for visit in self._visits.values())
+        return sum(contact.term >= term for contact in self._contacts.values())
 
     def should_avoid_leader(self, machine: str, now: float) -> bool:
-        """Whether this worker should try another follower before it goes back to the leader."""
-        visit = self._visits.get(machine)
-        if visit is None or self.leader is None:
-            return False  # when all controllers have just restarted, no leader has been lost
-        avoid_s = self.many_avoid_s if len(self._visits) > FEW_WORKERS else self.few_avoid_s
-        return now - visit.first_at <= avoid_s
+        """Whether this worker should contact another follower before it returns to the leader."""
+        contact = self._contacts.get(machine)
+        if contact is None or self.leader is None:
+            return False  # no leader has been lost, for example when all controllers have just restarted
+        avoid_s = (
+            self.leader_fault_avoid_s
+            if len(self._contacts) > MAX_INDIVIDUAL_FAULTS
+            else self.individual_fault_avoid_s
+        )
+        return now - contact.first_at <= avoid_s
 
     def next_follower(self, followers: Iterable[str], own: str) -> str | None:
-        """The next follower after this node in the order of names, other than the lost leader."""
+        """Return the next follower after this node in the order of names, other than the lost leader."""
         return next_in_ring([name for name in followers if name != self.leader], own)
 
     def _expire(self, now: float) -> None:
-        while self._visits:
-            machine, visit = next(iter(self._visits.items()))
-            if now - visit.last_at <= self.retention_s:
+        while self._contacts:
+            machine, contact = next(iter(self._contacts.items()))
+            if now - contact.last_at <= self.retention_s:
                 return
-            del self._visits[machine]
+            del self._contacts[machine]
 
 
 def next_in_ring(names: Collection[str], own: str) -> str | None:
-    """The name that follows ``own`` in a ring of sorted names; None when there are no names."""
+    """Return the name that follows ``own`` in the ring of sorted names; None when there are no names."""
     return min(names, key=lambda name: (name <= own, name), default=None)
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -1,4 +1,4 @@
-"""One machine as the leader knows it: its capacity, its cached images and the evidence that it is reachable."""
+"""The leader's state of one machine: capacity, cached images, and evidence that its worker is reachable."""
 
 from __future__ import annotations
 
@@ -8,46 +8,49 @@
 
 from passrock.core.model import EPSILON, ZERO_RESOURCES, JobSpec, MachineType, Resources
 
-# A single answer is lost now and then; this many in a row without effect mean that none reaches the machine.
-MAX_UNACKNOWLEDGED_ANSWERS = 2
+# Single answers are lost occasionally; after this many consecutive answers without effect, none reaches the machine.
+UNACKNOWLEDGED_ANSWERS_LIMIT = 2
 
 
 class Machine(msgspec.Struct):
-    """A machine with its tasks' resources and what is known from its heartbeats. Times are monotonic, in seconds."""
+    """A machine, the resources that its tasks use, and the state from its heartbeats.
+
+    Times are monotonic, in seconds.
+    """
 
     name: str
     type: MachineType
     zone: str
     spot: bool
     requested_at: float
-    """When it was requested, or created according to the cloud's list."""
+    """When the machine was requested, or its creation time according to the cloud's list."""
 
-    # -- heartbeats and reachability: see ``MachineHealth`` for what is concluded from them
+    # -- heartbeats and reachability, evaluated by ``MachineHealth``
     heartbeat_received: bool = False
-    """Whether any arrived in this leader's term."""
+    """Whether a heartbeat has arrived in this leader's term."""
     first_heartbeat_at: float = 0.0
     incarnation: int = 0
     sequence: int = -1
     last_heartbeat_at: float = 0.0
     last_answer_at: float = 0.0
     acknowledged_term: bool = False
-    """A heartbeat carried this term's fencing token, which only an answer can have delivered."""
+    """Whether a heartbeat carried this term's fencing token, which a worker receives only in an answer."""
     on_probation: bool = False
-    """One heartbeat has arrived after missed ones, and no other since."""
+    """Whether exactly one heartbeat has arrived since the machine became unresponsive."""
     in_correlated_outage: bool = False
-    """Became unresponsive together with many others; stays set when others send heartbeats again before it."""
+    """Whether the machine became unresponsive together with many others; cleared only by its own next heartbeat."""
     unacknowledged_answers: int = 0
-    """Answers in a row that had no effect on the next heartbeat."""
+    """The number of consecutive answers that had no effect on the next heartbeat."""
     last_unacknowledged_at: float = 0.0
 
     # -- life cycle
     reclaim_at: float | None = None
-    """When the cloud reclaims the spot instance, by its notice; None without a notice."""
+    """When the cloud will reclaim the spot instance; None without a preemption notice."""
     deleting: bool = False
     quarantined_until: float = 0.0
     idle_since: float | None = None
     failed_jobs: dict[str, float] = msgspec.field(default_factory=dict)
-    """Jobs whose tasks failed here, with the time of the last failure."""
+    """Ids of jobs whose tasks failed on this machine, with the time of the last failure."""
 
     # -- image cache and capacity
     images: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
@@ -55,20 +58,23 @@
     fetching: dict[str, float] = msgspec.field(default_factory=dict)
     """Images that are being fetched, with their sizes in GB."""
     orphans: dict[tuple[str, int], Resources] = msgspec.field(default_factory=dict)
-    """Tasks that run here without an attempt in the job table; they occupy capacity until they stop."""
+    """Tasks on this machine without an attempt in the job table; they use capacity until they stop."""
     used: Resources = ZERO_RESOURCES
-    """What the attempts in the job table occupy."""
+    """The resources of the machine's attempts in the job table."""
 
     @property
     def free_capacity(self) -> Resources:
-        """What is left for further tasks."""
+        """The capacity that neither attempts nor orphans use."""
         free = self.type.size - self.used
         for amount in self.orphans.values():
             free = free - amount
         return free
 
     def has_capacity_for(self, resources: Resources) -> bool:
-        """Whether ``resources`` fits; compares plain numbers, as every pass asks this of every machine."""
+        """Whether ``resources`` fits into the free capacity.
+
+        Compares plain numbers, as every scheduling pass calls this for every machine.
+        """
         size, used = self.type.size, self.used
         return (
             resources.gpus <= size.gpus - used.gpus + EPSILON
@@ -79,11 +85,11 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether answers are known to reach the worker; heartbeats prove only the other direction."""
+        """Whether answers provably reach the worker; heartbeats prove only the machine's outbound direction."""
         return (
             self.acknowledged_term
             and not self.on_probation
-            and self.unacknowledged_answers < MAX_UNACKNOWLEDGED_ANSWERS
+            and self.unacknowledged_answers < UNACKNOWLEDGED_ANSWERS_LIMIT
         )
 
     def record_unacknowledged_answer(self, now: float) -> None:
@@ -92,7 +98,7 @@
         self.last_unacknowledged_at = now
 
     def record_image_fetched(self, spec: JobSpec) -> None:
-        """Add the job's image to the cache and evict the least recently used ones beyond its size."""
+        """Add the job's image to the cache, and evict the least recently used images that exceed the cache size."""
         self.fetching.pop(spec.image, None)
         self.images[spec.image] = spec.image_gb
         self.images.move_to_end(spec.image)
@@ -100,7 +106,7 @@
             self.images.popitem(last=False)
 
     def image_fetch_time(self, spec: JobSpec) -> float:
-        """Seconds until a task of this job would have its image here."""
+        """Return the seconds until a task of this job would have its image on this machine."""
         if spec.image in self.images:
             return 0.0
         outstanding_gb = sum(self.fetching.values())
@@ -109,7 +115,7 @@
         return outstanding_gb / self.type.fetch_rate if self.type.fetch_rate > 0 else 0.0
 
     def image_fetch_interference(self, spec: JobSpec) -> float:
-        """Seconds that this job's image would add to the fetches in progress here, which share the rate."""
+        """Return the seconds by which this job's image would delay the fetches in progress; all share one rate."""
         others = len(self.fetching) - (spec.image in self.fetching)
         if others <= 0 or spec.image in self.images or spec.image in self.fetching or self.type.fetch_rate <= 0:
             return 0.0
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types with their prices, and which of them are unavailable for a while."""
+"""The cloud's machine types with their prices, and which offerings have no capacity at present."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MachineOffering(msgspec.Struct, frozen=True):
-    """What one request to the cloud can ask for: a machine type in a zone, on demand or as spot instance."""
+    """What one request to the cloud can ask for: a machine type in a zone, on-demand or spot."""
 
     machine_type: str
     zone: str
@@ -20,35 +20,38 @@
 
 
 class MachineCatalog(msgspec.Struct):
-    """What is known of the cloud's offerings.
+    """The cloud's offerings.
 
     Attributes:
         types: machine types by name, with current prices.
-        unavailable_until: when an offering without capacity may be asked for again.
+        unavailable_until: when an offering without capacity may be requested again.
     """
 
     types: dict[str, MachineType] = msgspec.field(default_factory=dict)
     unavailable_until: dict[MachineOffering, float] = msgspec.field(default_factory=dict)
 
     def price(self, offering: MachineOffering) -> float:
-        """The current price per hour."""
+        """Return the current price per hour."""
         return self.types[offering.machine_type].price_for(spot=offering.spot)
 
     def offerings_for(self, job: Job, objectives: ServiceLevelObjectives, now: float) -> list[MachineOffering]:
-        """The available offerings that the job's tasks may use, cheapest first.
+        """Return the available offerings that the job's tasks may use, cheapest first.
 
         A job that may use spot instances gets on-demand machines only when it would miss its objectives
-        otherwise: most of the time it can wait for capacity that is already paid for.
+        otherwise: usually it can wait for capacity that is already paid for.
         """
         available = [
             offering
-            for offering in self._allowed(job)
-            if self.is_available(offering, now) and self._is_worth_its_price(offering, job, objectives, now)
+            for offering in self._allowed_offerings(job)
+            if self.is_available(offering, now) and self._is_price_justified(offering, job, objectives, now)
         ]
         return sorted(available, key=lambda offering: (self.price(offering), offering.zone))
 
     def buffer_offering(self, free_gpus: dict[str, float], now: float) -> MachineOffering | None:
-        """The cheapest on-demand machine with GPUs, in the zone with the least free capacity."""
+        """Return the cheapest available on-demand offering with GPUs in the zone with the fewest free GPUs.
+
+        ``free_gpus`` is by zone. Returns None when no such offering is available.
+        """
         offerings = [
             MachineOffering(machine_type.name, zone, spot=False)
             for machine_type in self.types.values()
@@ -62,21 +65,21 @@
         )
 
     def is_available(self, offering: MachineOffering, now: float) -> bool:
-        """Whether the cloud has not lately been without capacity for it."""
+        """Whether the offering may be requested: the cloud has not recently been without capacity for it."""
         return self.unavailable_until.get(offering, 0.0) <= now
 
     def mark_unavailable(self, offering: MachineOffering, until: float) -> None:
-        """The cloud has no capacity for the offering; it is not asked again before ``until``."""
+        """Record that the cloud has no capacity for the offering, which is not requested again before ``until``."""
         self.unavailable_until[offering] = until
 
-    def _is_worth_its_price(
+    def _is_price_justified(
         self, offering: MachineOffering, job: Job, objectives: ServiceLevelObjectives, now: float
     ) -> bool:
         if offering.spot or not job.spec.allows_spot:
             return True
         return objectives.too_urgent_for_spot(job, self.types[offering.machine_type], now)
 
-    def _allowed(self, job: Job) -> Iterator[MachineOffering]:
+    def _allowed_offerings(self, job: Job) -> Iterator[MachineOffering]:
         for machine_type in self.types.values():
             if job.spec.resources.fits(machine_type.size):
                 for zone in machine_type.zones:
--- a/src/passrock/core/messages.py
+++ b/src/passrock/core/messages.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats, commands to workers and the cloud's list of machines, independent of names on the wire."""
+"""Workers' heartbeats, commands to workers and the cloud's list of machines, independent of their wire format."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 
 class TaskState(Enum):
-    """The state of a task in its life cycle, as its worker reports it."""
+    """The state of a task, as its worker reports it."""
 
-    FETCHING = auto()  # its image
-    WAITING = auto()  # for the other tasks of its gang
+    FETCHING = auto()  # fetching its image
+    WAITING = auto()  # waiting for the other tasks of its gang
     RUNNING = auto()
-    SAVING = auto()  # a checkpoint, before it stops
+    SAVING = auto()  # saving a checkpoint before it stops
     EXITED = auto()
 
 
 class ExitReason(StrEnum):
     """Why a task exited; the values appear in log events."""
 
-    UNSPECIFIED = ""  # not exited, or for a reason that this version doesn't know
+    UNSPECIFIED = ""  # not exited, or exited for a reason that this version does not support
     COMPLETED = "completed"
     STOPPED = "stopped"
     GANG_MEMBER_LOST = "gang_member_lost"
-    GANG_INCOMPLETE = "gang_incomplete"  # gave up waiting for the other tasks of its gang
+    GANG_INCOMPLETE = "gang_incomplete"  # its wait for the other tasks of its gang timed out
     FAILED = "failed"
-    INSUFFICIENT_CAPACITY = "insufficient_capacity"  # the machine has too little left for it
+    INSUFFICIENT_CAPACITY = "insufficient_capacity"  # the machine has too little free capacity for it
     ATTEMPT_IN_USE = "attempt_in_use"  # another attempt of the task was still on the machine
     JOB_UNKNOWN = "job_unknown"
 
 
 class CommandKind(Enum):
-    """What a worker can be commanded to do with a task."""
+    """The kinds of commands to workers."""
 
     START = auto()
     STOP = auto()
-    FORGET = auto()  # an exited task, which a worker lists until then
+    ACKNOWLEDGE_EXIT = auto()  # a worker lists an exited task until it receives this command
 
 
 class Command(msgspec.Struct, frozen=True):
-    """One command to a worker; a stopped task gets ``grace_s`` to save its work."""
+    """One command to a worker; a task that is stopped gets ``grace_s`` to save a checkpoint."""
 
     kind: CommandKind
     job: str
@@ -50,24 +50,24 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task in a worker's heartbeat; ``saved`` says whether an exited one has left a checkpoint."""
+    """One task in a worker's heartbeat; ``checkpoint_saved`` says whether an exited task left a checkpoint."""
 
     job: str
     index: int
     attempt_number: int
     state: TaskState
     exit_reason: ExitReason
-    saved: bool
+    checkpoint_saved: bool
 
 
 class WorkerHeartbeat(msgspec.Struct, frozen=True):
     """A worker's heartbeat.
 
     Attributes:
-        incarnation: grows each time the worker's lease expires; a later one knows no task of an earlier one.
-        sequence: grows with every heartbeat, so that delayed copies are recognised.
+        incarnation: increases each time the worker's lease expires; a worker starts each one without tasks.
+        sequence: increases with every heartbeat, so that delayed ones are detected.
         token: the fencing token (term) of the leader whose answer the worker received last.
-        notice: seconds until the cloud reclaims the machine; None without such a notice.
+        reclaim_in_s: seconds until the cloud reclaims the spot instance; None without a preemption notice.
     """
 
     machine: str
@@ -77,16 +77,16 @@
     incarnation: int
     sequence: int
     token: int
-    notice: float | None
+    reclaim_in_s: float | None
     tasks: list[TaskStatus]
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """A machine in the cloud's list; ``age`` in seconds since it was rented."""
+    """A machine in the cloud's list; ``age_s`` counts from its creation."""
 
     name: str
     type: str
     zone: str
     spot: bool
     status: str
-    age: float
+    age_s: float
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -1,4 +1,4 @@
-"""Which machines to scale out for waiting tasks, and which idle ones to scale in."""
+"""Planning of the fleet's size: machines to provision for waiting tasks, and idle machines to delete."""
 
 from __future__ import annotations
 
@@ -17,45 +17,48 @@
 from passrock.core.objectives import ServiceLevelObjectives
 
 MINIMUM_CHARGE_S = 60.0  # the cloud charges a deleted machine for at least this long
-SMALL_ARRAY_TASKS = 64  # up to this many tasks get capacity of their own each, however short they are
-MAX_MACHINES_PER_REQUEST = 50  # machines that one request to the cloud can ask for
+SMALL_ARRAY_TASKS = 64  # up to this many tasks of a job get capacity of their own each, however short they are
+MAX_MACHINES_PER_REQUEST = 50  # the cloud's limit on machines in one request
 
 
 class CapacityBin(msgspec.Struct):
-    """A machine that exists, is booting or would be provisioned, with the capacity that no planned task uses."""
+    """A running, booting or planned machine, with the capacity that no planned task uses."""
 
     offering: MachineOffering
     free_capacity: Resources
 
     def accepts(self, job: Job) -> bool:
-        """Whether at least one of the job's tasks may run here and fits."""
+        """Whether the job's tasks may run on this machine, and at least one of them fits."""
         offering = self.offering
         return job.spec.resources.fits(self.free_capacity) and job.spec.allows(
             offering.machine_type, offering.zone, spot=offering.spot
         )
 
     def fill(self, resources: Resources, max_tasks: int) -> int:
-        """Plan up to ``max_tasks`` tasks here; returns how many fit."""
+        """Place up to ``max_tasks`` tasks on this machine; returns how many fit."""
         count = resources.fit_count(self.free_capacity, max_tasks)
         self.free_capacity = self.free_capacity - resources.scaled(count)
         return count
 
 
 class _GangOption(msgspec.Struct):
-    """One way to place a whole gang: tasks on bins that exist, and new machines for the missing ones."""
+    """One way to place a whole gang: tasks on existing bins, and new machines for the missing tasks."""
 
     cost: float
     placements: list[tuple[CapacityBin, int]]
     missing: int
     offering: MachineOffering | None
-    """For the missing tasks; None when there are none."""
+    """The offering of the new machines; None when no task is missing."""
 
 
 def tasks_within_quota(job: Job, teams: dict[str, Team], planned_usage: dict[str, Resources]) -> int:
-    """How many of the job's waiting tasks the team's quota would let run, given the usage planned so far."""
+    """Return how many of the job's waiting tasks fit the team's quota and are worth capacity of their own.
+
+    ``planned_usage`` is by team: the usage of running tasks and of those planned so far.
+    """
     team = teams.get(job.spec.team)
     if team is None:
-        return 0  # removed from the settings: nothing is started for it
+        return 0  # the team was removed from the settings: none of its tasks is started
     planned = planned_usage.get(team.name, ZERO_RESOURCES)
 
     def exceeds_quota(count: int) -> bool:
@@ -63,21 +66,21 @@
 
     if job.spec.kind is JobKind.GANG:
         return 0 if exceeds_quota(job.waiting) else job.waiting
-    # the counts that exceed the quota follow all those that don't: bisection finds how many of these there are
-    counts = range(1, _tasks_worth_a_slot(job) + 1)
+    # the counts that exceed the quota follow all those that don't: bisection finds the number of the latter
+    counts = range(1, _tasks_worth_own_capacity(job) + 1)
     return bisect_left(counts, True, key=exceeds_quota)
 
 
-def _tasks_worth_a_slot(job: Job) -> int:
-    """How many of a job's waiting tasks are worth capacity of their own.
+def _tasks_worth_own_capacity(job: Job) -> int:
+    """Return how many of a job's waiting tasks are worth capacity of their own.
 
-    A machine has a minimum charge, in the time of which one slot runs several short tasks one after the other.
+    Within a machine's minimum charge, the capacity for one task runs several short tasks one after the other.
     Without this limit, a huge array of four-second tasks had all spot instances provisioned at once.
     """
     if job.spec.kind is JobKind.SERVICE:
         return job.waiting
-    slots = math.ceil(job.waiting * min(1.0, job.spec.estimated_run_s / MINIMUM_CHARGE_S))
-    return max(slots, min(job.waiting, SMALL_ARRAY_TASKS))
+    concurrent_tasks = math.ceil(job.waiting * min(1.0, job.spec.estimated_run_s / MINIMUM_CHARGE_S))
+    return max(concurrent_tasks, min(job.waiting, SMALL_ARRAY_TASKS))
 
 
 def plan_scale_out(
@@ -89,10 +92,10 @@
     objectives: ServiceLevelObjectives,
     now: float,
 ) -> dict[MachineOffering, int]:
-    """How many machines of each offering to provision so that the queue's tasks find capacity.
+    """Return how many machines of each offering to provision so that the queue's tasks get capacity.
 
-    Booting machines are filled first. For a gang the free capacity of running machines counts too, as its tasks may
-    have to be in the same zone as these.
+    Booting machines are filled first. For a gang, the free capacity of running machines counts too, as the gang may
+    have to be in the zone of these machines.
     """
     planner = _ScaleOutPlanner(catalog, objectives, now)
     smallest = smallest_request(queue)
@@ -118,17 +121,20 @@
 
 
 def _booting_bins(job_table: JobTable, inventory: MachineInventory, now: float) -> list[CapacityBin]:
-    """Machines that will have capacity soon: without a heartbeat yet, or expected back without any tasks."""
+    """Return bins for machines that will soon have capacity: booting ones, and ones expected back without tasks."""
     return [
         _bin(machine, machine.type.size)
         for machine in inventory.machines.values()
         if (not machine.heartbeat_received and not machine.deleting)
-        or (machine.name not in job_table.attempts_by_machine and inventory.health.may_return(machine, now))
+        or (machine.name not in job_table.attempts_by_machine and inventory.health.is_expected_back(machine, now))
     ]
 
 
 def _free_bins(inventory: MachineInventory, smallest: Resources, now: float) -> list[CapacityBin]:
-    """Machines with capacity for the smallest waiting task: in a busy cluster that leaves out nearly all."""
+    """Return bins for schedulable machines with capacity for the smallest waiting task.
+
+    In a busy cluster this excludes nearly all machines.
+    """
     return [
         _bin(machine, machine.free_capacity)
         for machine in inventory.machines.values()
@@ -141,7 +147,7 @@
 
 
 class _ScaleOutPlanner:
-    """Places the tasks of one job after the other on bins, and adds new machines for those that don't fit."""
+    """Places the tasks of one job after another on bins, and adds new machines for tasks that don't fit."""
 
     def __init__(self, catalog: MachineCatalog, objectives: ServiceLevelObjectives, now: float) -> None:
         self.catalog = catalog
@@ -149,7 +155,11 @@
         self.now = now
 
     def add_for_tasks(self, job: Job, count: int, booting: list[CapacityBin]) -> list[CapacityBin]:
-        """Fill booting machines, those with the fewest free GPUs first, and add the cheapest ones for the rest."""
+        """Fill booting machines, those with the fewest free GPUs first.
+
+        Returns:
+            New machines of the cheapest offering for the tasks that didn't fit.
+        """
         candidates = [candidate for candidate in booting if candidate.accepts(job)]
         for candidate in sorted(candidates, key=lambda candidate: candidate.free_capacity.gpus):
             if not count:
@@ -164,7 +174,11 @@
         return added
 
     def add_for_gang(self, job: Job, count: int, bins: list[CapacityBin]) -> list[CapacityBin]:
-        """Use the cheapest option for all tasks of the gang; nothing is added when no option places all of them."""
+        """Place the whole gang by the cheapest option.
+
+        Returns:
+            The new machines; none if no option places all tasks.
+        """
         best = min(self._gang_options(job, count, bins), key=lambda option: option.cost, default=None)
         if best is None:
             return []
@@ -183,7 +197,7 @@
         return CapacityBin(offering, self.catalog.types[offering.machine_type].size)
 
     def _gang_options(self, job: Job, count: int, bins: list[CapacityBin]) -> Iterator[_GangOption]:
-        """The options for a gang: one for each zone when it has to stay in one, otherwise a single one."""
+        """Yield the options for a gang: one for each zone if it needs a single zone, otherwise one over all zones."""
         offerings = self.catalog.offerings_for(job, self.objectives, self.now)
         candidates = [candidate for candidate in bins if candidate.accepts(job)]
         zones: list[str | None] = [None]
@@ -203,7 +217,7 @@
 def _place_in_zone(
     resources: Resources, count: int, candidates: list[CapacityBin], zone: str | None
 ) -> tuple[list[tuple[CapacityBin, int]], int]:
-    """How many tasks each candidate of the zone (or of any, for None) would take, and how many are left over."""
+    """Return how many tasks fit each candidate in the zone (in any zone for None), and how many tasks are missing."""
     placements: list[tuple[CapacityBin, int]] = []
     missing = count
     for candidate in candidates:
@@ -219,10 +233,10 @@
 def plan_scale_in(
     inventory: MachineInventory, job_table: JobTable, idle_timeout_s: dict[str, float], now: float
 ) -> list[Machine]:
-    """Idle machines that have waited long enough for work, on-demand machines first, then the longest idle.
+    """Return the machines whose idle time-out has expired: on-demand machines first, of each kind the longest idle.
 
-    ``idle_timeout_s`` is by machine type and for on-demand machines; a spot instance may wait longer, in the
-    ratio of the prices. No machine is deleted in the time that is charged anyway.
+    ``idle_timeout_s`` is by machine type and holds for on-demand machines; for a spot instance it is multiplied by
+    the ratio of the on-demand price to the spot price. No machine is deleted within its minimum charge.
     """
     surplus = []
     for machine in inventory.machines.values():
@@ -238,16 +252,17 @@
 
 
 def zone_loss_shortfall(production: dict[str, float], available: dict[str, float], zones: tuple[str, ...]) -> float:
-    """How many GPUs production work would lack if the worst zone were lost.
+    """Return how many GPUs production tasks would lack after the loss of the zone for which this is the most.
 
-    ``available`` counts GPUs that are idle or lent to work that can be preempted. All teams lose a zone at the
-    same time, so this is judged over all reservations together.
+    Both mappings are by zone: ``production`` has the GPUs of production tasks, ``available`` those that are idle or
+    used by tasks that can be preempted. All teams lose a zone at the same time, so all reservations are evaluated
+    together.
     """
     if len(zones) < 2:
         return 0.0
     total = sum(available.values())
     shortfalls = []
     for lost_zone in zones:
-        left = total - available.get(lost_zone, 0.0)
-        shortfalls.append(production.get(lost_zone, 0.0) - left)
+        remaining = total - available.get(lost_zone, 0.0)
+        shortfalls.append(production.get(lost_zone, 0.0) - remaining)
     return max(0.0, *shortfalls)
--- a/src/passrock/wire/workers.py
+++ b/src/passrock/wire/workers.py
@@ -26,7 +26,7 @@
     "in_use": ExitReason.ATTEMPT_IN_USE,
     "unknown": ExitReason.JOB_UNKNOWN,
 }
-COMMAND_KINDS = {CommandKind.START: "launch", CommandKind.STOP: "halt", CommandKind.FORGET: "clear"}
+COMMAND_KINDS = {CommandKind.START: "launch", CommandKind.STOP: "halt", CommandKind.ACKNOWLEDGE_EXIT: "clear"}
 
 
 class _Task(
@@ -84,7 +84,7 @@
         incarnation=message.incarnation,
         sequence=message.sequence,
         token=message.token,
-        notice=message.notice,
+        reclaim_in_s=message.notice,
         tasks=[_task_status(task) for task in message.tasks],
     )
 
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -143,7 +143,7 @@
     ExitReason.ATTEMPT_IN_USE: "busy",
     ExitReason.JOB_UNKNOWN: "unknown",
 }
-COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.FORGET}
+COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.ACKNOWLEDGE_EXIT}
 
 
 def flows(pairs, make=lambda value: value):
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -1,4 +1,4 @@
-"""Reconciliation of heartbeats with the job table: what counts as evidence, and what workers are commanded."""
+"""Reconciliation of heartbeats with the job table: what a heartbeat proves, and the commands in its answer."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def placed_harness(**fields):
-    """One job placed and committed on m1, its launch sent in answer to heartbeat 2."""
+    """A harness with one job placed on m1 and committed; the answer to heartbeat 2 has carried its launch."""
     harness = SchedulerHarness()
     job = harness.job(**fields)
     harness.run()
@@ -22,7 +22,7 @@
 
 
 def handle(harness, reconciler, now=1.0, may_launch=True, **fields):
-    """The commands in answer to a heartbeat with these fields."""
+    """Reconcile a heartbeat with these fields; returns the commands in its answer."""
     received = heartbeat(**fields)
     machine = harness.inventory.observe(received, BOX, now)
     return [] if machine is None else reconciler.handle(machine, received, now, may_launch=may_launch).commands
@@ -36,40 +36,40 @@
     return task_status(state=TaskState.EXITED, exit_reason=exit_reason, **fields)
 
 
-# What a heartbeat shows -> commands, and whether the attempt still counts as possibly on the machine.
+# Fields of a heartbeat -> commands in its answer, and whether the attempt stays in the job table.
 HEARTBEATS = [
     pytest.param({"sequence": 3, "tasks": [task_status()]}, [], True, id="running"),
     pytest.param(
-        {"sequence": 3}, [CommandKind.START], True, id="not listed in a later one: the launch was dropped, so again"
+        {"sequence": 3}, [CommandKind.START], True, id="not listed in a later heartbeat: the launch is repeated"
     ),
-    pytest.param({"sequence": 1}, [], True, id="an older heartbeat is nothing new"),
-    pytest.param({"incarnation": 2, "sequence": 3}, [], False, id="a later incarnation has forgotten it"),
+    pytest.param({"sequence": 1}, [], True, id="outdated heartbeat"),
+    pytest.param({"incarnation": 2, "sequence": 3}, [], False, id="later incarnation without the attempt"),
     pytest.param({"sequence": 3, "tasks": [exited(ExitReason.COMPLETED)]}, [], False, id="completed"),
     pytest.param({"sequence": 3, "tasks": [exited(ExitReason.STOPPED)]}, [], False, id="stopped"),
     pytest.param(
         {"sequence": 3, "tasks": [task_status(attempt_number=9)]},
         [CommandKind.STOP, CommandKind.START],
         True,
-        id="another attempt runs there",
+        id="another attempt is listed",
     ),
     pytest.param(
         {"sequence": 3, "tasks": [task_status(), task_status(job="wk-99")]},
         [CommandKind.STOP],
         True,
-        id="an unknown job",
+        id="task of an unknown job",
     ),
 ]
 
 
 @pytest.mark.parametrize(("fields", "commands", "is_recorded"), HEARTBEATS)
-def test_evidence_of_a_heartbeat(fields, commands, is_recorded):
+def test_commands_and_job_table_after_a_heartbeat(fields, commands, is_recorded):
     harness, job, reconciler = placed_harness()
     assert kinds(handle(harness, reconciler, **fields)) == commands
     assert (job.attempt_count == 1) is is_recorded
 
 
-def test_absence_needs_a_heartbeat_of_this_term():
-    """A delayed heartbeat of an older term proves nothing: a former leader may have launched after it."""
+def test_absence_requires_a_heartbeat_of_this_term():
+    """A delayed heartbeat of an older term proves no absence: a former leader may have launched the task after it."""
     harness, job, reconciler = placed_harness()
     harness.job_table.cancel(job, 0.0)
     handle(harness, reconciler, sequence=3, token=TERM - 1)
@@ -84,7 +84,7 @@
     [(ExitReason.GANG_INCOMPLETE, True), (ExitReason.STOPPED, True), (ExitReason.COMPLETED, False)],
 )
 def test_exits_in_heartbeats_of_older_terms(exit_reason, is_recorded):
-    """A delayed exit may be of an attempt that was started again since; completion is final."""
+    """A delayed exit may belong to an attempt that has been restarted in place; only completion is final."""
     harness, job, reconciler = placed_harness()
     next(job.attempts()).stop_grace_s = 0.0
     commands = handle(harness, reconciler, sequence=3, token=TERM - 1, tasks=[exited(exit_reason)])
@@ -92,7 +92,7 @@
     assert (job.attempt_count == 1) is is_recorded
 
 
-def test_no_launch_before_the_commit_nor_without_a_held_lease():
+def test_launch_requires_a_committed_record_and_permission_to_launch():
     harness = SchedulerHarness()
     harness.job()
     harness.run()
@@ -103,12 +103,12 @@
     assert kinds(handle(harness, reconciler, sequence=4)) == [CommandKind.START]
 
 
-def test_forget_only_what_is_committed():
+def test_exit_is_acknowledged_only_after_its_commit():
     harness, _, reconciler = placed_harness()
-    done = [exited(ExitReason.COMPLETED)]
-    assert handle(harness, reconciler, sequence=3, tasks=done) == []
+    completed = [exited(ExitReason.COMPLETED)]
+    assert handle(harness, reconciler, sequence=3, tasks=completed) == []
     harness.commit()
-    assert kinds(handle(harness, reconciler, sequence=4, tasks=done)) == [CommandKind.FORGET]
+    assert kinds(handle(harness, reconciler, sequence=4, tasks=completed)) == [CommandKind.ACKNOWLEDGE_EXIT]
 
 
 def test_gang_stops_and_starts_as_a_whole():
@@ -121,7 +121,7 @@
     first = next(job.attempts())
     harness.job_table.attempt_lost(first, 5.0)
     assert [attempt.stop_grace_s for attempt in job.attempts()] == [0.0, 0.0]
-    assert harness.run(6.0) == []  # not before every task of the old attempt has ended
+    assert harness.run(6.0) == []  # not before all tasks of the gang's previous attempt have ended
     for attempt in list(job.attempts()):
         harness.job_table.attempt_lost(attempt, 7.0)
     harness.refresh(7.0)
@@ -129,7 +129,7 @@
     assert {attempt.number for attempt in job.attempts()} == {2}
 
 
-def test_gang_task_that_gave_up_waiting_starts_again_in_place():
+def test_gang_member_whose_wait_timed_out_restarts_in_place():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     job = harness.job(kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50))
     harness.run()
@@ -137,35 +137,37 @@
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     handle(harness, reconciler, sequence=2)
     index = next(attempt.index for attempt in job.attempts() if attempt.machine == "m1")
-    gave_up = [exited(ExitReason.GANG_INCOMPLETE, index=index)]
-    assert kinds(handle(harness, reconciler, sequence=3, tasks=gave_up)) == [
-        CommandKind.FORGET,
+    timed_out = [exited(ExitReason.GANG_INCOMPLETE, index=index)]
+    assert kinds(handle(harness, reconciler, sequence=3, tasks=timed_out)) == [
+        CommandKind.ACKNOWLEDGE_EXIT,
         CommandKind.START,
     ]
     assert job.attempt_count == 2
     next(attempt for attempt in job.attempts() if attempt.machine == "m2").stop_grace_s = 0.0
     next(attempt for attempt in job.attempts() if attempt.machine == "m1").stop_grace_s = 0.0
-    assert kinds(handle(harness, reconciler, sequence=4, tasks=gave_up)) == []
-    assert job.attempt_count == 0  # this one ended, and the other was never launched
+    assert kinds(handle(harness, reconciler, sequence=4, tasks=timed_out)) == []
+    assert job.attempt_count == 0  # the attempt on m1 has exited, and the one on m2 was never launched
 
 
-# successive heartbeats (incarnation, sequence, token, whether the launch is listed) -> whether the machine is usable
+# heartbeats (incarnation, sequence, token, whether the task is listed) -> whether the machine is schedulable
 ACKNOWLEDGEMENTS = [
-    pytest.param([(1, 1, 0, False)], False, id="a first heartbeat shows no token of this term"),
-    pytest.param([(1, 1, 0, False), (1, 2, TERM, False)], True, id="the next one does"),
+    pytest.param([(1, 1, 0, False)], False, id="first heartbeat without this term's token"),
+    pytest.param([(1, 1, 0, False), (1, 2, TERM, False)], True, id="next heartbeat with this term's token"),
+    pytest.param([(1, 1, TERM, False), (2, 2, TERM, False)], True, id="one new incarnation despite answers"),
     pytest.param(
-        [(1, 1, TERM, False), (2, 2, TERM, False)], True, id="a new incarnation though it was answered, once"
+        [(1, 1, TERM, False), (2, 2, TERM, False), (3, 3, TERM, False)],
+        False,
+        id="two new incarnations despite answers",
     ),
-    pytest.param([(1, 1, TERM, False), (2, 2, TERM, False), (3, 3, TERM, False)], False, id="and again"),
     pytest.param([(1, n, TERM, False) for n in (1, 2, 3, 4)], False, id="launches without effect"),
     pytest.param(
-        [(1, 1, TERM, False), (1, 2, TERM, False), (1, 3, TERM, True)], True, id="a launch that took effect at last"
+        [(1, 1, TERM, False), (1, 2, TERM, False), (1, 3, TERM, True)], True, id="launch that took effect at last"
     ),
 ]
 
 
-@pytest.mark.parametrize(("heartbeats", "is_usable"), ACKNOWLEDGEMENTS)
-def test_only_machines_that_answers_reach_are_used(heartbeats, is_usable):
+@pytest.mark.parametrize(("heartbeats", "schedulable"), ACKNOWLEDGEMENTS)
+def test_only_machines_that_acknowledge_answers_are_schedulable(heartbeats, schedulable):
     harness = SchedulerHarness([])
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
     harness.job()
@@ -183,27 +185,31 @@
         harness.run(float(step))
         harness.commit()
     assert (
-        harness.inventory.health.is_schedulable(harness.inventory.machines["m1"], float(len(heartbeats))) is is_usable
+        harness.inventory.health.is_schedulable(harness.inventory.machines["m1"], float(len(heartbeats)))
+        is schedulable
     )
 
 
 @pytest.mark.parametrize(
-    ("answered", "fenced", "now", "up", "is_expired"),
+    ("last_answer_at", "fenced_at", "now", "heartbeat_received", "is_expired"),
     [
         (0.0, None, 100.0, True, False),
         (0.0, 0.0, 10.5, True, False),
         (0.0, 0.0, 11.1, True, True),
         (0.0, 50.0, 60.0, True, False),
-        # cut off across a failover: its tasks, and the other members of its gangs, once waited until it was deleted
+        # A machine that is unreachable throughout a failover: without the expiry of its lease, its tasks and the
+        # other members of their gangs waited until the machine was deleted.
         (0.0, 2.0, 11.1, False, False),
         (0.0, 2.0, 13.1, False, True),
     ],
 )
-def test_lease_evidence(answered, fenced, now, up, is_expired):
+def test_lease_expiry_requires_the_fencing_of_older_leaders(
+    last_answer_at, fenced_at, now, heartbeat_received, is_expired
+):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
-    machine.last_answer_at, machine.heartbeat_received = answered, up
-    assert harness.inventory.health.is_lease_expired(machine, now, fenced) is is_expired
+    machine.last_answer_at, machine.heartbeat_received = last_answer_at, heartbeat_received
+    assert harness.inventory.health.is_lease_expired(machine, now, fenced_at) is is_expired
 
 
 def test_a_job_that_fails_on_several_machines_is_retried_later():
@@ -225,7 +231,7 @@
 
 
 def fail_on(harness, reconciler, job, machine, now):
-    """One of the job's tasks is started on a machine and fails there."""
+    """Start the job's first task on a machine, and report its failure."""
     attempt = harness.job_table.start(job, 0, harness.inventory.machines[machine], job.next_attempt_number(0), now)
     attempt.launch_sequence = 0
     sequence = harness.inventory.machines[machine].sequence + 1
@@ -234,24 +240,25 @@
 
 
 def test_a_faulty_job_is_distinguished_from_a_faulty_machine():
-    """Machines on which two jobs had failed were replaced, also where both jobs fail wherever they start."""
+    """Machines on which two jobs had failed were replaced even when both jobs failed on every machine."""
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False), ("m3", "a", False)])
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
-    first, second, sound, other = (harness.job(number) for number in (1, 2, 3, 4))
+    first_faulty, second_faulty, first_sound, second_sound = (harness.job(number) for number in (1, 2, 3, 4))
     for now, machine in enumerate(("m1", "m2")):
-        fail_on(harness, reconciler, first, machine, float(now))
-    assert first.is_suspect
-    assert first.retry_not_before > 1.0  # it is tried again, later
-    blocked = harness.inventory.machines["m3"].quarantined_until
-    fail_on(harness, reconciler, first, "m3", 2.0)
-    assert harness.inventory.machines["m3"].quarantined_until == blocked  # and blocks nothing any more
+        fail_on(harness, reconciler, first_faulty, machine, float(now))
+    assert first_faulty.is_suspect
+    assert first_faulty.retry_not_before > 1.0  # the job is retried later
+    quarantined_until = harness.inventory.machines["m3"].quarantined_until
+    fail_on(harness, reconciler, first_faulty, "m3", 2.0)
+    # a suspect job quarantines no machine
+    assert harness.inventory.machines["m3"].quarantined_until == quarantined_until
     for now, machine in enumerate(("m2", "m1"), start=3):
-        fail_on(harness, reconciler, second, machine, float(now))
+        fail_on(harness, reconciler, second_faulty, machine, float(now))
     m1 = harness.inventory.machines["m1"]
     assert len(m1.failed_jobs) == 2
     assert harness.job_table.failures_against(m1) == 0
-    fail_on(harness, reconciler, sound, "m1", 5.0)
-    fail_on(harness, reconciler, other, "m1", 6.0)
+    fail_on(harness, reconciler, first_sound, "m1", 5.0)
+    fail_on(harness, reconciler, second_sound, "m1", 6.0)
     assert harness.job_table.failures_against(m1) == 2
 
 
@@ -268,6 +275,6 @@
     handle(harness, reconciler, sequence=3, tasks=running)
     stop_gracefully(attempt, 6.0)
     assert stops(4, running) == [(CommandKind.STOP, 6.0)]
-    assert stops(5, saving) == []  # a second stop would end the saving
+    assert stops(5, saving) == []  # a second stop command would interrupt the saving
     harness.job_table.cancel(job, 0.0)
     assert stops(6, saving) == [(CommandKind.STOP, 0.0)]
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -8,7 +8,7 @@
 from passrock.controller.leadership import Leadership
 from passrock.controller.replica import Replica
 from passrock.core.cancellations import CancellationLog
-from passrock.core.inventory import DELETED_NAMES_KEPT, MachineInventory
+from passrock.core.inventory import MAX_DELETED_NAMES, MachineInventory
 from passrock.core.machine_health import MachineHealth
 from passrock.io.http_server import Request
 from passrock.io.store import TransactionConflict
@@ -327,9 +327,9 @@
     assert len(replica.finals) == 50
     assert "wk-499" in replica.finals
     inventory = MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), 1)
-    for number in range(DELETED_NAMES_KEPT + 500):
+    for number in range(MAX_DELETED_NAMES + 500):
         inventory.record_deleted(f"host-{number:06d}", float(number))
-    assert len(inventory.deleted) == DELETED_NAMES_KEPT
+    assert len(inventory.deleted) == MAX_DELETED_NAMES
     assert "host-000000" not in inventory.deleted
     log = CancellationLog(keep_s=60.0)
     for second in range(1000):
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""Plans to scale out for waiting jobs and to scale in idle machines."""
+"""Plans to scale out for waiting jobs, and to scale in idle machines."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     queue = harness.scheduler.queue.ordered(0.0)
     catalog = MachineCatalog({"box": BOX})
     assert scale_out(harness, catalog, queue) == machine_counts
-    for offering, count in machine_counts.items():  # booting machines are enough
+    for offering, count in machine_counts.items():  # booting machines have enough capacity
         for i in range(count):
             harness.inventory.add(f"new{i}", BOX, offering.zone, spot=offering.spot, now=0.0)
     assert scale_out(harness, catalog, queue) == {}
@@ -38,13 +38,13 @@
 @pytest.mark.parametrize(
     ("tasks", "estimate", "machines"),
     [
-        (20_000, 4.0, 21),  # a slot runs fifteen of them in the minimum charge
-        (20_000, 0.1, 1),  # but 64 tasks get a slot each
+        (20_000, 4.0, 21),  # the capacity for one task runs fifteen of them within the minimum charge
+        (20_000, 0.1, 1),  # but 64 tasks get capacity of their own each
         (100, 4.0, 1),
         (1_000, 300.0, 16),
     ],
 )
-def test_short_tasks_share_slots(tasks, estimate, machines):
+def test_short_tasks_share_capacity(tasks, estimate, machines):
     harness = SchedulerHarness([])
     harness.job(
         tasks=tasks, estimated_run_s=estimate, resources=Resources(0.25, 0, 1.0), allows_spot=True, team="free"
@@ -64,7 +64,7 @@
     queue = harness.scheduler.queue.ordered(0.0)
     assert scale_out(harness, catalog, queue) == {}
     late = scale_out(harness, catalog, queue, 285.0)
-    assert late == {MachineOffering("box", "a", True): 1}  # available again by then
+    assert late == {MachineOffering("box", "a", True): 1}  # spot instances are available again by then
     for zone in BOX.zones:
         catalog.mark_unavailable(MachineOffering("box", zone, True), 500.0)
     assert scale_out(harness, catalog, queue, 285.0) == {MachineOffering("box", "a", False): 1}
@@ -77,7 +77,7 @@
     for machine in harness.inventory.machines.values():
         machine.requested_at = -100.0
     idle_timeout_s = {"box": 10.0}
-    surplus = [m.name for m in plan_scale_in(harness.inventory, harness.job_table, idle_timeout_s, 12.0)]
+    surplus = [idle.name for idle in plan_scale_in(harness.inventory, harness.job_table, idle_timeout_s, 12.0)]
     assert len(surplus) == 1
     assert surplus[0] in ("m1", "m3")  # the busy one and the spot instance stay
     assert len(plan_scale_in(harness.inventory, harness.job_table, idle_timeout_s, 40.0)) == 2
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -88,7 +88,13 @@
 
 def test_heartbeat_is_parsed():
     heartbeat = workers.parse_heartbeat(cbor2.dumps(HEARTBEAT))
-    assert (heartbeat.machine, heartbeat.incarnation, heartbeat.sequence, heartbeat.token, heartbeat.notice) == (
+    assert (
+        heartbeat.machine,
+        heartbeat.incarnation,
+        heartbeat.sequence,
+        heartbeat.token,
+        heartbeat.reclaim_in_s,
+    ) == (
         "host-1",
         2,
         88,
@@ -96,7 +102,7 @@
         None,
     )
     task = heartbeat.tasks[0]
-    assert (task.job, task.index, task.attempt_number, task.state, task.exit_reason, task.saved) == (
+    assert (task.job, task.index, task.attempt_number, task.state, task.exit_reason, task.checkpoint_saved) == (
         "wk-1",
         3,
         2,
@@ -134,7 +140,7 @@
     commands = [
         Command(CommandKind.START, "wk-1", 0, 3),
         Command(CommandKind.STOP, "wk-2", 1, 1, 10.0),
-        Command(CommandKind.FORGET, "wk-3", 0, 1),
+        Command(CommandKind.ACKNOWLEDGE_EXIT, "wk-3", 0, 1),
     ]
     assert cbor2.loads(workers.answer(41, commands)) == {
         "warrant": 41,
