--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -109,7 +109,7 @@
         if entry is None:
             return None
         if await self._read(keys.cancellation(job_id)) is not None:
-            self.cancellations.learn(job_id, monotonic_time())
+            self.cancellations.add(job_id, monotonic_time())
             return JobStatus(CANCELLED)
         # the job may have ended between the two reads, which deletes its cancellation
         if await self._read(keys.final(job_id)) is not None:
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -58,7 +58,7 @@
         self.sockets = int(settings.fd_limit * settings.operator.socket_share) - STATE_CONNECTIONS
         self.replica = Replica(store, int(settings.memory_mb * FINALS_MEMORY_SHARE * 1e6 / FINAL_BYTES))
         retention_s = settings.cancel_s * CANCELLATION_RETENTION
-        self.cancellations = CancellationLog(retention_s, on_learned=self._on_cancellation)
+        self.cancellations = CancellationLog(retention_s, on_added=self._on_cancellation)
         self.replica.subscribe(self._on_state_change)
         self.leadership = Leadership(settings, store, self.replica, rng)
         self.leadership.subscribe(self._on_role_change)
@@ -144,7 +144,7 @@
 
     def _on_state_change(self, key: str, entry: Entry | None) -> None:
         if key.startswith(keys.CANCELLATION) and entry is not None:
-            self.cancellations.learn(key[len(keys.CANCELLATION) :], monotonic_time())
+            self.cancellations.add(key[len(keys.CANCELLATION) :], monotonic_time())
 
     def _on_cancellation(self, job_id: str) -> None:
         """A cancellation is committed: by this node itself, as a peer says, or as the replica shows.
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -62,7 +62,7 @@
         if job is not None:
             job_table.cancel(job, confirmed_at(entry))
     for job in list(job_table.jobs.values()):
-        learned_at = cancellations.learned_at(job.spec.id)
+        learned_at = cancellations.added_at(job.spec.id)
         if learned_at is not None:
             job_table.cancel(job, learned_at)
         job_table.check_loaded(job)
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -68,7 +68,7 @@
             image=job.spec.image,
         )
         self.evaluations.request()
-        learned_at = self.cancellations.learned_at(job_id)
+        learned_at = self.cancellations.added_at(job_id)
         if learned_at is not None:
             self.cancelled(job_id, learned_at)
 
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -202,7 +202,7 @@
             except UnknownOutcomeError:
                 continue  # it may have been applied: read again
             if isinstance(result, Committed):
-                self.cancellations.learn(job_id, monotonic_time())
+                self.cancellations.add(job_id, monotonic_time())
                 return Response(200, wire.brief_answer(job_id, CANCELLED))
         raise UnavailableError("undecided")
 
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -1,7 +1,8 @@
-"""The log of cancellations on one controller, how it is replicated, and up to when it is complete.
+"""One controller's log of cancellations, its replication, and the time until which it is complete.
 
-A controller that renews a worker's lease keeps the worker's tasks running. So it must know every cancellation that
-any controller has confirmed to a user, except those so recent that even the renewed lease expires in time.
+A controller that renews a worker's lease keeps the worker's tasks running. Hence its log must contain every
+cancellation that any controller has confirmed to a user, except those so recent that even the renewed lease expires
+in time.
 """
 
 from __future__ import annotations
@@ -19,10 +20,11 @@
 
 
 def renewal_horizon(cancel_s: float, lease_s: float, heartbeat_interval_s: float) -> float:
-    """The greatest age, in seconds, of a cancellation that a controller may not know when it renews a lease.
+    """Return the greatest age, in seconds, of a cancellation that the log may lack when a lease is renewed.
 
     By any clock, the lease expires at most ``lease_s`` after the renewal, and the tasks end with it; a heartbeat
-    interval is left for the worker to notice. All tasks must have ended within ``cancel_s`` of the confirmation.
+    interval is left for the worker to detect the expiry. All tasks must have ended within ``cancel_s`` of the
+    confirmation.
     """
     return (cancel_s - lease_s * CLOCK_DRIFT_RATIO - heartbeat_interval_s) / CLOCK_DRIFT_RATIO
 
@@ -35,53 +37,53 @@
 
 
 class CancellationLog:
-    """The jobs whose cancellation is committed, in the order in which this process learned of them.
+    """The jobs whose cancellation is committed, in the order in which this process added them.
 
-    A job is appended before this controller answers its user. Peers replicate the log slice by slice. Entries
-    older than ``keep_s`` are dropped: by the renewal rule itself their tasks ended long before.
+    A job is added before this controller answers its user. Peers replicate the log slice by slice. Entries older
+    than ``keep_s`` are dropped: by the renewal rule, their tasks ended long before.
 
     Args:
         keep_s: seconds for which an entry is kept.
-        on_learned: called with each new job id, whether it came from a user, a peer or the replica.
+        on_added: called with each new job id, whether it came from a user, a peer or the replica.
     """
 
-    def __init__(self, keep_s: float, on_learned: Callable[[str], None] | None = None) -> None:
+    def __init__(self, keep_s: float, on_added: Callable[[str], None] | None = None) -> None:
         self.keep_s = keep_s
         self.first = 0  # index of the oldest entry that is kept
-        self._on_learned = on_learned
+        self._on_added = on_added
         self._order: deque[tuple[str, float]] = deque()
-        self._known: dict[str, float] = {}
+        self._added_at: dict[str, float] = {}
         self._lock = Lock()
 
     def __contains__(self, job_id: str) -> bool:
-        return job_id in self._known
+        return job_id in self._added_at
 
-    def learned_at(self, job_id: str) -> float | None:
-        """When the cancellation was learned of, by the monotonic clock; None for a job that isn't in the log."""
-        return self._known.get(job_id)
+    def added_at(self, job_id: str) -> float | None:
+        """Return when the job was added, by the monotonic clock; None for a job that isn't in the log."""
+        return self._added_at.get(job_id)
 
     @property
     def total(self) -> int:
         """The number of entries so far, dropped ones included: the index of the next one."""
         return self.first + len(self._order)
 
-    def learn(self, job_id: str, now: float) -> bool:
-        """Append a committed cancellation, unless it is known; returns whether it is new."""
+    def add(self, job_id: str, now: float) -> bool:
+        """Add a committed cancellation, unless the log contains it; returns whether it was added."""
         with self._lock:
             while self._order and now - self._order[0][1] > self.keep_s:
                 expired_id, _ = self._order.popleft()
-                self._known.pop(expired_id, None)
+                self._added_at.pop(expired_id, None)
                 self.first += 1
-            if job_id in self._known:
+            if job_id in self._added_at:
                 return False
-            self._known[job_id] = now
+            self._added_at[job_id] = now
             self._order.append((job_id, now))
-        if self._on_learned is not None:
-            self._on_learned(job_id)
+        if self._on_added is not None:
+            self._on_added(job_id)
         return True
 
     def entries_since(self, index: int, limit: int) -> LogSlice:
-        """Up to ``limit`` entries from ``index`` on, or from the oldest one that is kept."""
+        """Return up to ``limit`` entries from ``index`` on, or from the oldest entry that is kept."""
         with self._lock:
             first = max(self.first, index)
             offset = first - self.first
@@ -89,16 +91,16 @@
 
 
 class PeerLogAnswer(msgspec.Struct, frozen=True):
-    """What one answer of a peer says about its log of cancellations.
+    """The state and a slice of a peer's log of cancellations, from one answer of the peer.
 
     Attributes:
-        incarnation: which process of that node answered; each has a log of its own.
-        replica_loaded: whether it has read the key-value store since its start.
-        staleness_s: it knows everything that anyone confirmed this many seconds before it was asked, or earlier;
-            None when it doesn't know.
-        first: index of the first of the entries below.
-        total: the number of entries in its log so far.
-        job_ids: a slice of its log.
+        incarnation: which process of the peer's node answered; each has its own log.
+        replica_loaded: whether that process has read the key-value store since its start.
+        staleness_s: the log contains every cancellation that any controller confirmed at least this many seconds
+            before the request was sent; None when that time is unknown.
+        first: the index of the first entry in ``job_ids``.
+        total: the number of entries in the log so far, dropped ones included.
+        job_ids: a slice of the log.
     """
 
     incarnation: int
@@ -110,29 +112,30 @@
 
 
 class PeerLogProgress:
-    """How far one peer's log of cancellations has been applied here.
+    """How far one peer's log of cancellations has been applied to the local log.
 
     A peer that restarts begins a new log, which proves nothing before the peer has read the key-value store again:
-    until then, no running process may know what the peer's former incarnation confirmed.
+    until then, cancellations that the peer's former incarnation confirmed may be missing from the logs of all running
+    processes.
 
     Attributes:
-        incarnation: the process of the peer whose log is being applied, 0 for none.
-        applied: the number of entries of that log that are known here.
-        complete_until: every cancellation that this peer confirmed before then is known here.
-        claimed_until: this peer knew every cancellation that anyone confirmed before then, and all that it knew is
-            known here.
+        incarnation: the peer's process whose log is being applied, 0 for none.
+        applied: the number of entries of that log, from its beginning, that have been applied.
+        confirmed_by_peer_until: the local log contains every cancellation that this peer confirmed before this time.
+        confirmed_by_any_until: the peer's log contained every cancellation that any controller confirmed before this
+            time, and all its entries have been applied.
     """
 
     def __init__(self) -> None:
         self.incarnation = 0
         self.applied = 0
-        self.complete_until = NEVER
-        self.claimed_until = NEVER
+        self.confirmed_by_peer_until = NEVER
+        self.confirmed_by_any_until = NEVER
 
     def apply(self, answer: PeerLogAnswer, asked_at: float) -> Sequence[str]:
-        """Advance by an answer to what was asked at ``asked_at``; returns the entries that are new here.
+        """Apply the answer to a request sent at ``asked_at``; returns the entries that are new to this process.
 
-        The caller appends them to its own log before anything else happens.
+        The caller must add them to the local log before it uses this progress or the answer in any other way.
         """
         if answer.incarnation != self.incarnation:
             self.incarnation, self.applied = answer.incarnation, 0
@@ -140,18 +143,20 @@
         self.applied = max(self.applied, answer.first + len(answer.job_ids))
         if self.applied >= answer.total:
             if answer.replica_loaded:
-                self.complete_until = max(self.complete_until, asked_at)
+                self.confirmed_by_peer_until = max(self.confirmed_by_peer_until, asked_at)
             if answer.staleness_s is not None:
-                self.claimed_until = max(self.claimed_until, asked_at - answer.staleness_s)
+                self.confirmed_by_any_until = max(self.confirmed_by_any_until, asked_at - answer.staleness_s)
         return new_job_ids
 
 
 def complete_until(read_at: float, peers: Sequence[PeerLogProgress], now: float) -> float:
-    """The time before which every cancellation confirmed by any controller is known here.
+    """Return the time until which the local log is complete: every earlier confirmed cancellation is in it.
 
-    ``read_at`` is when the last read of the key-value store began that proved this process's replica complete.
-    This process knows what it confirmed itself; what its former incarnations confirmed, it knows once it has read
-    the store at all.
+    ``read_at`` is when the last read of the key-value store that proved this process's replica complete began. The
+    log contains what this process confirmed itself, and, once the process has read the store at all, what this
+    node's former incarnations confirmed.
     """
-    confirmed_by_all = min((peer.complete_until for peer in peers), default=now) if read_at > NEVER else NEVER
-    return max(read_at, confirmed_by_all, max((peer.claimed_until for peer in peers), default=NEVER))
+    confirmed_by_all = (
+        min((peer.confirmed_by_peer_until for peer in peers), default=now) if read_at > NEVER else NEVER
+    )
+    return max(read_at, confirmed_by_all, max((peer.confirmed_by_any_until for peer in peers), default=NEVER))
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -154,7 +154,7 @@
             job_ids=heartbeat.cancelled,
         )
         for job_id in progress.apply(log_answer, answer.asked_at):
-            self.cancellations.learn(job_id, monotonic_time())
+            self.cancellations.add(job_id, monotonic_time())
         self._receive(heartbeat)
 
     def _receive(self, heartbeat: PeerHeartbeat) -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -1,4 +1,4 @@
-"""The log of cancellations: replicated slice by slice, and complete up to a time that each answer may move."""
+"""The log of cancellations: its replication in slices, and the time until which it is complete."""
 
 import math
 
@@ -17,7 +17,7 @@
 from passrock.io.peer_messages import PeerHeartbeat, decode, frame
 from passrock.io.peers import PeerExchange, PeerTable
 
-OWN = PeerHeartbeat("n0", 1, False, False, True, incarnation=7)
+HEARTBEAT = PeerHeartbeat("n0", 1, False, False, True, incarnation=7)
 
 
 @pytest.mark.parametrize(
@@ -27,91 +27,99 @@
 def test_a_lease_renewed_at_the_horizon_expires_in_time(cancel_s, lease_s, report_s):
     horizon = renewal_horizon(cancel_s, lease_s, report_s)
     assert horizon > 2 * report_s
-    assert horizon * 1.0005 + lease_s * 1.0005 + report_s < cancel_s  # clocks that drift apart, and a margin
+    assert horizon * 1.0005 + lease_s * 1.0005 + report_s < cancel_s  # with clock drift, and a margin
 
 
-def test_the_log_is_bounded_in_time():
+def test_entries_are_dropped_after_their_retention():
     log = CancellationLog(keep_s=10.0)
-    assert [log.learn(job, at) for job, at in (("a", 0.0), ("b", 5.0), ("a", 6.0), ("c", 12.0))] == [1, 1, 0, 1]
+    assert [log.add(job, at) for job, at in (("a", 0.0), ("b", 5.0), ("a", 6.0), ("c", 12.0))] == [1, 1, 0, 1]
     assert (log.first, log.total) == (1, 3)
     assert "a" not in log
     assert "b" in log
     slices = [log.entries_since(0, 9), log.entries_since(2, 9), log.entries_since(1, 1)]
     assert slices == [(1, ["b", "c"]), (2, ["c"]), (1, ["b"])]
     assert log.entries_since(3, 9) == (3, [])
-    assert log.learned_at("c") == 12.0
-    assert log.learned_at("x") is None
+    assert log.added_at("c") == 12.0
+    assert log.added_at("x") is None
 
 
 def test_the_listener_is_called_once_for_each_entry():
-    learned = []
-    log = CancellationLog(keep_s=10.0, on_learned=learned.append)
+    added = []
+    log = CancellationLog(keep_s=10.0, on_added=added.append)
     for job in ("a", "b", "a"):
-        log.learn(job, 0.0)
-    assert learned == ["a", "b"]
+        log.add(job, 0.0)
+    assert added == ["a", "b"]
 
 
 # Answers of one peer: (incarnation, replica loaded, staleness, first, total, entries, asked at);
-# then what is new of the last one, and the two times that it proves.
+# then the new entries of the last answer, and the two times that all answers prove.
 ANSWERS = [
-    pytest.param([(1, True, None, 0, 2, "ab", 5.0)], "ab", 5.0, NEVER, id="all of it"),
-    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0)], "ab", NEVER, NEVER, id="in slices: not yet"),
-    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0), (1, True, 0.5, 2, 3, "c", 6.0)], "c", 6.0, 5.5, id="in slices"),
+    pytest.param([(1, True, None, 0, 2, "ab", 5.0)], "ab", 5.0, NEVER, id="whole log"),
+    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0)], "ab", NEVER, NEVER, id="first of two slices"),
+    pytest.param([(1, True, 0.5, 0, 3, "ab", 5.0), (1, True, 0.5, 2, 3, "c", 6.0)], "c", 6.0, 5.5, id="both slices"),
     pytest.param(
         [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 0, 2, "ab", 6.0)],
         "",
         6.0,
         NEVER,
-        id="the same slice twice",
+        id="same slice twice",
     ),
     pytest.param(
-        [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 1, 3, "bc", 6.0)], "c", 6.0, NEVER, id="an overlap"
+        [(1, True, None, 0, 2, "ab", 5.0), (1, True, None, 1, 3, "bc", 6.0)], "c", 6.0, NEVER, id="overlapping slices"
     ),
     pytest.param(
         [(1, True, None, 0, 1, "a", 5.0), (1, True, None, 4, 5, "e", 6.0)],
         "e",
         6.0,
         NEVER,
-        id="older ones were dropped there",
+        id="peer has dropped older entries",
     ),
     pytest.param(
         [(1, True, None, 0, 1, "a", 5.0), (2, False, None, 0, 0, "", 6.0)],
         "",
         5.0,
         NEVER,
-        id="restarted, and has not loaded its replica",
+        id="restarted, replica not loaded",
     ),
     pytest.param(
-        [(1, True, None, 0, 1, "a", 5.0), (2, True, None, 0, 1, "b", 6.0)], "b", 6.0, NEVER, id="restarted, loaded"
+        [(1, True, None, 0, 1, "a", 5.0), (2, True, None, 0, 1, "b", 6.0)],
+        "b",
+        6.0,
+        NEVER,
+        id="restarted, replica loaded",
     ),
     pytest.param(
-        [(2, False, 1.0, 0, 1, "a", 6.0)], "a", NEVER, 5.0, id="has not loaded, but learned from one that knows"
+        [(2, False, 1.0, 0, 1, "a", 6.0)],
+        "a",
+        NEVER,
+        5.0,
+        id="replica not loaded, but log complete from another peer",
     ),
 ]
 
 
-@pytest.mark.parametrize(("answers", "new", "until", "claimed"), ANSWERS)
-def test_the_log_of_a_peer_is_complete_until_its_last_fully_applied_answer(answers, new, until, claimed):
+@pytest.mark.parametrize(("answers", "new", "peer_until", "any_until"), ANSWERS)
+def test_the_log_of_a_peer_is_complete_until_its_last_fully_applied_answer(answers, new, peer_until, any_until):
     progress = PeerLogProgress()
     for *fields, asked_at in answers:
-        fresh = progress.apply(PeerLogAnswer(*fields), asked_at)
-    assert "".join(fresh) == new
-    assert (progress.complete_until, progress.claimed_until) == (until, claimed)
+        new_job_ids = progress.apply(PeerLogAnswer(*fields), asked_at)
+    assert "".join(new_job_ids) == new
+    assert (progress.confirmed_by_peer_until, progress.confirmed_by_any_until) == (peer_until, any_until)
 
 
-def peer(until, claimed=NEVER):
+def peer(peer_until, any_until=NEVER):
     progress = PeerLogProgress()
-    progress.complete_until, progress.claimed_until = until, claimed
+    progress.confirmed_by_peer_until, progress.confirmed_by_any_until = peer_until, any_until
     return progress
 
 
 @pytest.mark.parametrize(
     ("read_at", "peers", "expected"),
     [
-        (3.0, [peer(8.0), peer(9.0)], 8.0),  # all that the others confirmed, and what this one confirmed itself
-        (3.0, [peer(8.0), peer(NEVER)], 3.0),  # one does not answer: the read counts
-        (NEVER, [peer(8.0), peer(9.0)], NEVER),  # its own former incarnation may have confirmed more
-        (NEVER, [peer(8.0), peer(NEVER, 6.0)], 6.0),  # a peer knows everything
+        (3.0, [peer(8.0), peer(9.0)], 8.0),  # what the peers confirmed, and what this process confirmed itself
+        (3.0, [peer(8.0), peer(NEVER)], 3.0),  # one peer does not answer: the read of the store counts
+        (NEVER, [peer(8.0), peer(9.0)], NEVER),  # this node's former incarnation may have confirmed more
+        (NEVER, [peer(8.0), peer(NEVER, 6.0)], 6.0),  # one peer's log was complete until 6
         (3.0, [], 10.0),  # no other controller
         (NEVER, [], NEVER),
     ],
@@ -120,25 +128,25 @@
     assert complete_until(read_at, peers, 10.0) == expected
 
 
-def test_a_peer_gets_the_entries_that_it_lacks_in_bounded_slices():
+def test_a_peer_receives_missing_entries_in_bounded_slices():
     log = CancellationLog(1e6)
     for number in range(250):
-        log.learn(f"wk-{number:018d}", 0.0)
-    exchange = PeerExchange(PeerTable([], 1.0), lambda: OWN, lambda heartbeat: None, log)
-    question = PeerHeartbeat("n1", 1, False, False, True, applied_incarnation=7)
-    got, applied = [], 0
+        log.add(f"wk-{number:018d}", 0.0)
+    exchange = PeerExchange(PeerTable([], 1.0), lambda: HEARTBEAT, lambda heartbeat: None, log)
+    request = PeerHeartbeat("n1", 1, False, False, True, applied_incarnation=7)
+    received, applied = [], 0
     while applied < 250:
-        reply = exchange.reply(msgspec.structs.replace(question, applied=applied))
+        reply = exchange.reply(msgspec.structs.replace(request, applied=applied))
         assert len(frame(reply)) < 16 * 1024
-        got += reply.cancelled
+        received += reply.cancelled
         applied = reply.first + len(reply.cancelled)
-    assert got == [f"wk-{number:018d}" for number in range(250)]
-    of_a_former_incarnation = msgspec.structs.replace(question, applied_incarnation=6, applied=250)
-    assert exchange.reply(of_a_former_incarnation).first == 0
+    assert received == [f"wk-{number:018d}" for number in range(250)]
+    request_to_former_incarnation = msgspec.structs.replace(request, applied_incarnation=6, applied=250)
+    assert exchange.reply(request_to_former_incarnation).first == 0
 
 
 def test_names_on_the_wire_are_those_of_earlier_releases():
-    """Controllers of both releases run side by side while they are replaced one by one."""
+    """Controllers of both releases run side by side during a rolling restart."""
     names = [
         "node",
         "term",
@@ -161,12 +169,12 @@
     assert frame(heartbeat) == len(body).to_bytes(4, "big") + body
 
 
-BAD = [
+MALFORMED = [
     b"junk",
     msgspec.msgpack.encode({"node": "n1"}),
     msgspec.msgpack.encode({"version": 2}),
     *(
-        msgspec.msgpack.encode(msgspec.structs.replace(OWN, **fields))
+        msgspec.msgpack.encode(msgspec.structs.replace(HEARTBEAT, **fields))
         for fields in (
             {"term": -1},
             {"applied": -5},
@@ -180,11 +188,11 @@
 ]
 
 
-@pytest.mark.parametrize("body", BAD)
-def test_a_malformed_message_reaches_no_listener(body):
-    got = []
-    connection = PeerConnection(lambda _, heartbeat: got.append(heartbeat))
-    connection.data_received(frame(OWN)[:5])
-    connection.data_received(frame(OWN)[5:])
+@pytest.mark.parametrize("body", MALFORMED)
+def test_malformed_messages_are_not_delivered(body):
+    received = []
+    connection = PeerConnection(lambda _, heartbeat: received.append(heartbeat))
+    connection.data_received(frame(HEARTBEAT)[:5])
+    connection.data_received(frame(HEARTBEAT)[5:])
     connection.data_received(len(body).to_bytes(4, "big") + body)
-    assert got == [OWN]
+    assert received == [HEARTBEAT]
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -952,7 +952,7 @@
 def test_answer_to_the_golden_message_keeps_its_bytes():
     known = CancellationLog(1e6)
     for number in range(20):
-        known.learn(f"wk-{5000 + number}", 0.0)
+        known.add(f"wk-{5000 + number}", 0.0)
 
     async def main():
         peers, peer, seen = peers_with_a_fake(known)
@@ -975,7 +975,7 @@
         node.leadership.incarnation = node.admission.incarnation = 7000001
         node.replica.mark_complete(7.375)
         for number in range(3):
-            node.cancellations.learn(f"wk-{5000 + number}", 8.0)
+            node.cancellations.add(f"wk-{5000 + number}", 8.0)
         for number in range(2):
             node.redirects.target(f"host-{number}", 41)
         node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -333,6 +333,6 @@
     assert "host-000000" not in inventory.deleted
     log = CancellationLog(keep_s=60.0)
     for second in range(1000):
-        log.learn(f"wk-{second}", float(second))
+        log.add(f"wk-{second}", float(second))
     assert log.total == 1000
     assert len(log.entries_since(0, 1000).job_ids) == 61
