--- a/src/passrock/controller/request_limits.py
+++ b/src/passrock/controller/request_limits.py
@@ -28,7 +28,7 @@
 
 def refuse(limiter: AdaptiveConcurrencyLimiter, status: int) -> Response:
     """An immediate refusal, with the time after which to retry."""
-    return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after())
+    return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after_s())
 
 
 def limited(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response | Work:
--- a/src/passrock/core/concurrency_limiter.py
+++ b/src/passrock/core/concurrency_limiter.py
@@ -58,7 +58,7 @@
             elif is_nearly_full and latency_s <= baseline_s + self.slack_s:
                 self.limit = min(float(self.maximum), self.limit + 1.0)
 
-    def retry_after(self) -> int:
+    def retry_after_s(self) -> int:
         """Return the seconds after which a rejected user should retry."""
         with self._lock:
             wait_s = MIN_RETRY_AFTER_S + self.in_progress * (self._baseline_s or 0.0)
--- a/src/passrock/core/lost_workers.py
+++ b/src/passrock/core/lost_workers.py
@@ -82,9 +82,9 @@
         )
         return now - contact.first_at <= avoid_s
 
-    def next_follower(self, followers: Iterable[str], own: str) -> str | None:
+    def next_follower(self, followers: Iterable[str], own_name: str) -> str | None:
         """Return the next follower after this node in the order of names, other than the lost leader."""
-        return next_in_ring([name for name in followers if name != self.leader], own)
+        return next_in_ring([name for name in followers if name != self.leader], own_name)
 
     def _expire(self, now: float) -> None:
         while self._contacts:
@@ -94,6 +94,6 @@
             del self._contacts[machine]
 
 
-def next_in_ring(names: Collection[str], own: str) -> str | None:
-    """Return the name that follows ``own`` in the ring of sorted names; None when there are no names."""
-    return min(names, key=lambda name: (name <= own, name), default=None)
+def next_in_ring(names: Collection[str], own_name: str) -> str | None:
+    """Return the name that follows ``own_name`` in the ring of sorted names; None when there are no names."""
+    return min(names, key=lambda name: (name <= own_name, name), default=None)
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -35,7 +35,7 @@
         )
 
     def fill(self, resources: Resources, max_tasks: int) -> int:
-        """Place up to ``max_tasks`` tasks on this machine; returns how many fit."""
+        """Subtract the capacity for up to ``max_tasks`` tasks; returns how many fit."""
         count = resources.fit_count(self.free_capacity, max_tasks)
         self.free_capacity = self.free_capacity - resources.scaled(count)
         return count
@@ -54,7 +54,7 @@
 def tasks_within_quota(job: Job, teams: dict[str, Team], planned_usage: dict[str, Resources]) -> int:
     """Return how many of the job's waiting tasks fit the team's quota and are worth capacity of their own.
 
-    ``planned_usage`` is by team: the usage of running tasks and of those planned so far.
+    ``planned_usage`` is by team: the usage of attempts on machines and of tasks planned so far.
     """
     team = teams.get(job.spec.team)
     if team is None:
@@ -147,7 +147,7 @@
 
 
 class _ScaleOutPlanner:
-    """Places the tasks of one job after another on bins, and adds new machines for tasks that don't fit."""
+    """Plans the tasks of one job after another on bins, and adds new machines for tasks that don't fit."""
 
     def __init__(self, catalog: MachineCatalog, objectives: ServiceLevelObjectives, now: float) -> None:
         self.catalog = catalog
@@ -174,7 +174,7 @@
         return added
 
     def add_for_gang(self, job: Job, count: int, bins: list[CapacityBin]) -> list[CapacityBin]:
-        """Place the whole gang by the cheapest option.
+        """Plan the whole gang by the cheapest option.
 
         Returns:
             The new machines; none if no option places all tasks.
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -21,7 +21,7 @@
         limiter.try_acquire()
         limiter.release(1.0, failed=False)
     assert limiter.limit == 2
-    assert 1 <= limiter.retry_after() <= 30
+    assert 1 <= limiter.retry_after_s() <= 30
 
 
 def test_token_bucket_delays_requests_beyond_the_rate():
