--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -112,7 +112,7 @@
         if machine.deleting or self.inventory.machines.get(machine.name) is not machine:
             return None
         if self.renewal.may_launch():
-            commands += self.reconciler.late_launches(machine, heartbeat)
+            commands += self.reconciler.newly_committed_launches(machine, heartbeat)
         machine.last_answer_at = monotonic_time()
         return commands
 
@@ -128,5 +128,5 @@
             task=task_exit.attempt.index,
             attempt=task_exit.attempt.number,
             machine=machine.name,
-            reason=task_exit.reason + ("+saved" if task_exit.saved else ""),
+            reason=task_exit.reason + ("+saved" if task_exit.checkpoint_saved else ""),
         )
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -233,7 +233,7 @@
                 continue
             is_known = listed.name in self.inventory.machines
             machine = self.inventory.add(
-                listed.name, machine_type, listed.zone, spot=listed.spot, now=now, age=listed.age
+                listed.name, machine_type, listed.zone, spot=listed.spot, now=now, age_s=listed.age_s
             )
             if not is_known:
                 info(
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -44,7 +44,7 @@
         requests = self.store.request_bucket
         return min(
             MAX_READ_WAIT_S,
-            requests.time_until_available(monotonic_time(), keep=requests.burst * COMMIT_REQUEST_SHARE),
+            requests.time_until_available(monotonic_time(), reserved=requests.burst * COMMIT_REQUEST_SHARE),
         )
 
     async def _read(self) -> bool:
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -203,7 +203,7 @@
             except UnknownOutcomeError:
                 continue  # the transaction may have been applied: read the state again
             if isinstance(result, Committed):
-                self.cancellations.learn(job_id, monotonic_time())
+                self.cancellations.add(job_id, monotonic_time())
                 return Response(200, wire.brief_answer(job_id, CANCELLED))
         raise UnavailableError(f"cancellation of {job_id} is undecided after {MAX_CANCEL_ATTEMPTS} attempts")
 
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -47,7 +47,7 @@
         lost_workers = self.lost_workers
         highest_term = self.leadership.highest_term
         if token and not self.leadership.leading:
-            lost_workers.record_visit(machine, token, leader, highest_term, now)
+            lost_workers.record_contact(machine, token, leader, highest_term, now)
         same_leader_as_lost = leader is None or (
             leader == lost_workers.leader and highest_term <= lost_workers.leader_term
         )
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -158,7 +158,7 @@
             job_ids=heartbeat.cancelled,
         )
         for job_id in progress.apply(log_answer, answer.requested_at):
-            self.cancellations.learn(job_id, monotonic_time())
+            self.cancellations.add(job_id, monotonic_time())
         self._receive(heartbeat)
 
     def _receive(self, heartbeat: PeerHeartbeat) -> None:
