--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -24,7 +24,7 @@
 from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import info
 from passrock.settings import Settings
-from passrock.wire.store import TXN_BYTES, Entry, Put, Write
+from passrock.wire.store import TRANSACTION_VALUE_BYTES, Entry, Put, Write
 
 MIN_ROUND_GAP_RATIO = 0.25  # of the round interval: the shortest time between two rounds
 MIN_FREE_WRITE_FRACTION = 0.6  # of the write burst: required before records of a round are written
@@ -225,4 +225,4 @@
         """Return how many records fit the limits of a transaction and leave half of the available writes to jobs."""
         max_by_rate = int(self.store.write_bucket.burst * MIN_FREE_WRITE_FRACTION / 2)
         count = max(1, min(self.settings.txn_ops, max_by_rate))
-        return min(count, max(1, TXN_BYTES // self.settings.value_bytes))
+        return min(count, max(1, TRANSACTION_VALUE_BYTES // self.settings.value_bytes))
--- a/src/passrock/controller/heartbeat_endpoint.py
+++ b/src/passrock/controller/heartbeat_endpoint.py
@@ -41,26 +41,26 @@
         try:
             heartbeat = worker_wire.parse_heartbeat(request.body)
         except MalformedBodyError as exc:
-            return Response(400, user_wire.error_answer(str(exc)))
+            return Response(400, user_wire.encode_error_answer(str(exc)))
         leadership = self.leadership
         leadership.observe_term(heartbeat.token)
         if not self.renewal.may_renew():
             return self._answer_as_follower(heartbeat)
         leader_term = self.current_term()
         if leader_term is None or not leader_term.ready:
-            return Response(200, worker_wire.answer(leadership.term, self._stop_cancelled(heartbeat)))
+            return Response(200, worker_wire.encode_answer(leadership.term, self._stop_cancelled(heartbeat)))
         commands = leader_term.heartbeat_handler.handle(heartbeat)
         if commands is None:
             return Response(503)
         if isinstance(commands, list):
-            return Response(200, worker_wire.answer(leadership.term, commands))
+            return Response(200, worker_wire.encode_answer(leadership.term, commands))
         return self._answer_when_ready(commands, leadership.term)
 
     def _answer_as_follower(self, heartbeat: WorkerHeartbeat) -> Response:
         if self.renewal.may_renew_leaderless(heartbeat.token):
-            return Response(200, worker_wire.answer(heartbeat.token, self._stop_cancelled(heartbeat)))
+            return Response(200, worker_wire.encode_answer(heartbeat.token, self._stop_cancelled(heartbeat)))
         node = self.redirects.redirect_target(heartbeat.machine, heartbeat.token)
-        return Response(421, worker_wire.redirect(node))
+        return Response(421, worker_wire.encode_redirect(node))
 
     def _stop_cancelled(self, heartbeat: WorkerHeartbeat) -> list[Command]:
         """Return commands to stop the tasks of cancelled jobs.
@@ -79,5 +79,5 @@
         if commands is None:
             return Response(503)
         if not self.renewal.may_renew() or self.leadership.term != term:
-            return Response(421, worker_wire.redirect(None))
-        return Response(200, worker_wire.answer(term, commands))
+            return Response(421, worker_wire.encode_redirect(None))
+        return Response(200, worker_wire.encode_answer(term, commands))
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -21,7 +21,7 @@
 from passrock.io.store import Committed, KeyValueStoreClient
 from passrock.logs import debug, info
 from passrock.settings import Settings
-from passrock.wire.cloud import MAX_PER_DELETE
+from passrock.wire.cloud import MAX_MACHINES_PER_DELETION
 from passrock.wire.store import Delete, Entry, Put
 
 RETRY_S = 1.0
@@ -200,7 +200,7 @@
             await self._deletion_queued.wait()
             self._deletion_queued.clear()
             while self._deletion_queue:
-                names = list(self._deletion_queue)[:MAX_PER_DELETE]
+                names = list(self._deletion_queue)[:MAX_MACHINES_PER_DELETION]
                 try:
                     await self.cloud.delete_machines(names)
                 except CloudError as exc:
--- a/src/passrock/controller/request_limits.py
+++ b/src/passrock/controller/request_limits.py
@@ -28,7 +28,7 @@
 
 def refuse(limiter: AdaptiveConcurrencyLimiter, status: int) -> Response:
     """Return an immediate refusal, with the time after which to retry."""
-    return Response(status, wire.error_answer("busy, come back later"), retry_after=limiter.retry_after_s())
+    return Response(status, wire.encode_error_answer("busy, come back later"), retry_after=limiter.retry_after_s())
 
 
 def run_limited(limiter: AdaptiveConcurrencyLimiter, work: Work) -> Response | Work:
--- a/src/passrock/controller/request_router.py
+++ b/src/passrock/controller/request_router.py
@@ -33,4 +33,4 @@
             return Response(200 if self.health.is_healthy() else 503)
         if path == user_wire.RUNS_PATH or path.startswith(RUNS_PREFIXES):
             return self.user_api.handle(request)
-        return Response(404, user_wire.error_answer("no such path"))
+        return Response(404, user_wire.encode_error_answer("no such path"))
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -73,10 +73,10 @@
         if path == wire.RUNS_PATH:
             return self._handle_submission(request) if request.method == "POST" else Response(405, allow="POST")
         job_path = path[len(wire.RUNS_PATH) + 1 :]
-        if job_path.endswith(wire.WITHDRAW_END):
-            return self._route_cancellation(request, job_path[: -len(wire.WITHDRAW_END)])
+        if job_path.endswith(wire.WITHDRAW_SUFFIX):
+            return self._route_cancellation(request, job_path[: -len(wire.WITHDRAW_SUFFIX)])
         if not job_path or "/" in job_path:
-            return Response(404, wire.error_answer("no such path"))
+            return Response(404, wire.encode_error_answer("no such path"))
         return self._route_query(request, job_path)
 
     def _route_cancellation(self, request: Request, job_id: str) -> Response | Awaitable[Response]:
@@ -100,9 +100,9 @@
         try:
             spec = wire.parse_submission(request.body)
         except MalformedBodyError as exc:
-            return Response(400, wire.error_answer(str(exc)))
+            return Response(400, wire.encode_error_answer(str(exc)))
         if not fits_record(spec):
-            return Response(400, wire.error_answer("the names in it are too long"))
+            return Response(400, wire.encode_error_answer("the names in it are too long"))
         types = self.catalog.types
         if not types or not self.replica.loaded:
             return refuse(self.write_limiter, 503)
@@ -110,7 +110,7 @@
         # a repeated submission gets the job's state, though the machine types may have changed since it was accepted
         is_known = self.lookup.is_known(spec.id)
         if reason is not None and not is_known:
-            return Response(422, wire.error_answer(reason))
+            return Response(422, wire.encode_error_answer(reason))
         if self.store.write_bucket.time_until_available(monotonic_time()) > WRITE_BACKLOG_LIMIT_S:
             return refuse(self.write_limiter, 429)
         if self.admission_controller is None or is_known:
@@ -134,7 +134,7 @@
         submissions does not use it up.
         """
         refusal_response = Response(
-            429, wire.error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
+            429, wire.encode_error_answer("over the grant, come back later"), retry_after=refusal.retry_after_s
         )
         if (
             self.store.request_bucket.available_fraction(monotonic_time()) < RETRY_LOOKUP_MIN_FREE_FRACTION
@@ -148,7 +148,7 @@
             job = await self.lookup.find(job_id)
         except (StoreError, UnavailableError):
             return refusal_response
-        return refusal_response if job is None else Response(200, wire.brief_answer(job_id, job.status))
+        return refusal_response if job is None else Response(200, wire.encode_brief_answer(job_id, job.status))
 
     async def _submit(self, spec: JobSpec, admission_token: AdmissionToken | None) -> Response:
         """Commit a submission; if the job is already known or the outcome is unknown, answer with the job's state."""
@@ -157,7 +157,7 @@
             async with asyncio.timeout(SUBMIT_TIMEOUT_S):
                 try:
                     if await self.submitter.submit(spec, admission_token):
-                        return Response(201, wire.brief_answer(spec.id, QUEUED))
+                        return Response(201, wire.encode_brief_answer(spec.id, QUEUED))
                     grant_unused = True
                 except UnknownOutcomeError:
                     pass  # the job may have been accepted: read its state before answering
@@ -175,7 +175,7 @@
                 self.admission_controller.request_finished(spec, unused=grant_unused)
         if job is None:
             return refuse(self.write_limiter, 503)
-        return Response(200, wire.brief_answer(spec.id, job.status))
+        return Response(200, wire.encode_brief_answer(spec.id, job.status))
 
     # -- queries and cancellations ------------------------------------------------------------------
 
@@ -186,7 +186,7 @@
         done = job.done
         if job.status == DONE and done == 0:
             done = 1  # the replica keeps the status of an ended job, not its number of tasks
-        return Response(200, wire.full_answer(job_id, job.status, done, job.running))
+        return Response(200, wire.encode_full_answer(job_id, job.status, done, job.running))
 
     async def _cancel(self, job_id: str) -> Response:
         """Commit a cancellation unless the job has ended; repeated requests get the same answer."""
@@ -195,7 +195,7 @@
             if job is None:
                 return _unknown_job()
             if job.status in (DONE, CANCELLED):
-                return Response(200, wire.brief_answer(job_id, job.status))
+                return Response(200, wire.encode_brief_answer(job_id, job.status))
             conditions = {keys.final(job_id): 0, keys.cancellation(job_id): 0}
             record = encode_record(CancellationRecord(time_of_day()))
             try:
@@ -204,9 +204,9 @@
                 continue  # the transaction may have been applied: read the state again
             if isinstance(result, Committed):
                 self.cancellations.add(job_id, monotonic_time())
-                return Response(200, wire.brief_answer(job_id, CANCELLED))
+                return Response(200, wire.encode_brief_answer(job_id, CANCELLED))
         raise UnavailableError(f"cancellation of {job_id} is undecided after {MAX_CANCEL_ATTEMPTS} attempts")
 
 
 def _unknown_job() -> Response:
-    return Response(404, wire.error_answer("no such job"))
+    return Response(404, wire.encode_error_answer("no such job"))
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -33,8 +33,8 @@
 
     async def list_machine_types(self) -> dict[str, MachineType]:
         """Return the machine types by name, with current prices."""
-        body = await self._call("GET", wire.TYPES_PATH)
-        return _parse(wire.parse_types, body, wire.TYPES_PATH)
+        body = await self._call("GET", wire.MACHINE_TYPES_PATH)
+        return _parse(wire.parse_machine_types, body, wire.MACHINE_TYPES_PATH)
 
     async def provision(self, name: str, type_name: str, zone: str, spot: bool, count: int) -> tuple[str, ...]:
         """Request ``count`` machines and return the names of those provisioned, which may be fewer.
@@ -44,12 +44,14 @@
         Raises:
             NoCapacityError: no machine is available for this type, zone and kind.
         """
-        body = await self._call("POST", wire.RENTALS_PATH, wire.rental(name, type_name, zone, spot, count))
-        return _parse(wire.parse_rented, body, wire.RENTALS_PATH)
+        body = await self._call(
+            "POST", wire.RENTALS_PATH, wire.encode_provisioning_request(name, type_name, zone, spot, count)
+        )
+        return _parse(wire.parse_provisioned_machines, body, wire.RENTALS_PATH)
 
     async def delete_machines(self, names: list[str]) -> None:
         """Delete machines; when this returns, they no longer exist."""
-        await self._call("POST", wire.DELETE_PATH, wire.deletion(names))
+        await self._call("POST", wire.DELETE_PATH, wire.encode_deletion_request(names))
 
     async def list_machines(self) -> list[ListedMachine]:
         """Return all machines, read page by page."""
@@ -57,7 +59,7 @@
         truncated = True
         while truncated:
             path = wire.list_path(machines[-1].name if machines else "")
-            page, truncated = _parse(wire.parse_list, await self._call("GET", path), path)
+            page, truncated = _parse(wire.parse_machine_page, await self._call("GET", path), path)
             if not page:
                 break
             machines += page
--- a/src/passrock/io/store.py
+++ b/src/passrock/io/store.py
@@ -96,13 +96,13 @@
             UnknownOutcomeError: the transaction may have been applied, or may yet be.
             LeaseExpiredError: the lease of one of its writes has expired.
         """
-        body = wire.commit(conditions, writes)
+        body = wire.encode_transaction(conditions, writes)
         status, answer = await self._call("POST", wire.COMMIT_PATH, body, write_count=len(writes))
         try:
             if status == OK:
                 return Committed(wire.parse_revision(answer))
             if status == CONFLICT:
-                return TransactionConflict(wire.parse_failed(answer))
+                return TransactionConflict(wire.parse_conflicting_keys(answer))
         except MalformedBodyError as exc:
             raise UnknownOutcomeError(f"malformed answer: {exc}", call=wire.COMMIT_PATH) from exc
         if status == BAD_REQUEST and b"lease" in answer:
@@ -111,7 +111,7 @@
 
     async def create_lease(self, ttl_s: float) -> int:
         """Create a lease and return its id."""
-        status, body = await self._call("POST", wire.LEASES_PATH, wire.lease_request(ttl_s))
+        status, body = await self._call("POST", wire.LEASES_PATH, wire.encode_lease_request(ttl_s))
         _require_success(status, wire.LEASES_PATH)
         return _parse(wire.parse_lease, body, wire.LEASES_PATH)
 
--- a/src/passrock/wire/cbor.py
+++ b/src/passrock/wire/cbor.py
@@ -1,4 +1,4 @@
-"""CBOR bodies: maps keyed by text, decoded into typed messages; anything malformed is a MalformedBodyError."""
+"""Encoding and decoding of CBOR bodies as typed messages; malformed bodies raise MalformedBodyError."""
 
 from __future__ import annotations
 
@@ -7,45 +7,49 @@
 import cbor2
 import msgspec
 
-TEXT_LIMIT = 200  # characters; longer names fit no record and no log line
-NUMBER_LIMIT = 1e9  # far above every amount and duration that makes sense
-COUNT_BITS = 64  # counts, versions, tokens and attempts are smaller than two to this power
+MAX_TEXT_CHARS = 200  # longer names fit neither in a stored record nor in a log line
+MAX_NUMBER = 1e9  # far above every meaningful amount or duration
+MAX_COUNT_BITS = 64  # size limit of counts, sequence numbers, fencing tokens and attempt numbers
 
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=TEXT_LIMIT)]
-TextOrEmpty = Annotated[str, msgspec.Meta(max_length=TEXT_LIMIT)]
-Number = Annotated[float, msgspec.Meta(ge=0.0, le=NUMBER_LIMIT)]
+Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_TEXT_CHARS)]
+TextOrEmpty = Annotated[str, msgspec.Meta(max_length=MAX_TEXT_CHARS)]
+Number = Annotated[float, msgspec.Meta(ge=0.0, le=MAX_NUMBER)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 Message = TypeVar("Message")
 
 
 class MalformedBodyError(Exception):
-    """A body that is not what the interface says."""
+    """A body that does not have the form that its interface defines."""
 
 
 def encode(value: object) -> bytes:
-    """A value as CBOR."""
+    """Encode a value as CBOR."""
     return cbor2.dumps(value)
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """A message as a map under its names on the wire, in the order of its fields."""
+    """Encode a message as a CBOR map, with the encoded field names in the order of the fields."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-def decode(body: bytes, kind: type[Message]) -> Message:
-    """A body as a message of this type; fields that the type doesn't name are ignored."""
+def decode(body: bytes, message_type: type[Message]) -> Message:
+    """Decode a body as a message of this type; fields that the type does not define are ignored.
+
+    Raises:
+        MalformedBodyError: the body is not CBOR, or not a message of this type.
+    """
     try:
         value = cbor2.loads(body)
-    except Exception as error:  # the decoder raises many kinds on hostile input, all of them bad bodies
-        raise MalformedBodyError("not CBOR") from error
+    except Exception as exc:  # the decoder raises exceptions of many types on malformed input
+        raise MalformedBodyError("not CBOR") from exc
     try:
-        return msgspec.convert(value, kind)
-    except msgspec.ValidationError as error:
-        raise MalformedBodyError(str(error)) from error
+        return msgspec.convert(value, message_type)
+    except msgspec.ValidationError as exc:
+        raise MalformedBodyError(str(exc)) from exc
 
 
 def check_counts(*counts: int) -> None:
-    """Refuse counts that are too large, which a message type can't express."""
-    if max(counts) >> COUNT_BITS:
-        raise MalformedBodyError(f"an integer of more than {COUNT_BITS} bits")
+    """Raise MalformedBodyError for counts above the limit, which message types cannot express as a constraint."""
+    if max(counts) >> MAX_COUNT_BITS:
+        raise MalformedBodyError(f"an integer of more than {MAX_COUNT_BITS} bits")
--- a/src/passrock/wire/store.py
+++ b/src/passrock/wire/store.py
@@ -1,4 +1,4 @@
-"""The key-value store's calls (the protocol's state service): paths, bodies, and their types on the inner side."""
+"""Requests to the key-value store (the platform's state service) and its answers: paths, bodies and their types."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 LEASES_PATH = "/leases"
 COMMIT_PATH = "/commit"
-PAGE_LIMIT = 1000  # keys
-TXN_BYTES = 56 * 1024  # of the 64 KiB that a transaction may have, keys and conditions apart
+MAX_PAGE_KEYS = 1000
+TRANSACTION_VALUE_BYTES = 56 * 1024  # for values; the rest of the limit of 64 KiB is for keys and conditions
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """A key with its value and the store's revision of its last change."""
+    """A key with its value and the revision of the store at which the key was last changed."""
 
     key: str
     value: Any
@@ -23,7 +23,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of a key as a watch reports it; without ``present`` the key was deleted."""
+    """A change of a key, as reported by a watch; if ``present`` is false, the key was deleted."""
 
     key: str
     present: bool
@@ -32,7 +32,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Set a key, attached to a lease where one is given."""
+    """A write that sets a key, attached to a lease if one is given."""
 
     key: str
     value: Any
@@ -40,7 +40,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """Remove a key."""
+    """A write that deletes a key."""
 
     key: str
 
@@ -49,15 +49,15 @@
 
 
 class EntryPage(NamedTuple):
-    """One page of the keys below a prefix."""
+    """One page of the keys with a given prefix."""
 
     entries: list[Entry]
-    truncated: bool  # more keys follow
-    revision: int  # of the store when it made the page
+    truncated: bool  # whether more keys follow
+    revision: int  # of the store when it read the page
 
 
 class ChangeBatch(NamedTuple):
-    """What a watch has seen: all changes after its start, up to a revision of the store."""
+    """All changes between the start revision of a watch and ``revision``."""
 
     changes: list[Change]
     revision: int
@@ -80,7 +80,7 @@
     mod_revision: cbor.Count
     value: object = None
 
-    def entry(self) -> Entry:
+    def to_entry(self) -> Entry:
         return Entry(self.key, self.value, self.mod_revision)
 
 
@@ -96,7 +96,7 @@
     deleted_key: cbor.Text | None = None
     value: object = None
 
-    def change(self) -> Change:
+    def to_change(self) -> Change:
         key = self.deleted_key if self.put_key is None else self.put_key
         if key is None:
             raise cbor.MalformedBodyError("events: neither set nor drop")
@@ -133,38 +133,38 @@
 
 
 def get_path(key: str) -> str:
-    """The path of one key."""
+    """Return the path of a key."""
     return f"/kv/{key}"
 
 
-def list_path(prefix: str, after: str = "", limit: int = PAGE_LIMIT) -> str:
-    """The path of one page of keys."""
+def list_path(prefix: str, after: str = "", limit: int = MAX_PAGE_KEYS) -> str:
+    """Return the path of the page of keys that follows the key ``after``; empty: of the first page."""
     tail = f"&after={after}" if after else ""
     return f"/kv?prefix={prefix}{tail}&page={limit}"
 
 
 def watch_path(prefix: str, after: int, wait_ms: int) -> str:
-    """The path of one wait for changes after a revision."""
+    """Return the path of a watch request, which waits up to ``wait_ms`` for changes after the revision ``after``."""
     return f"/changes?prefix={prefix}&after={after}&holdMs={wait_ms}"
 
 
 def renew_path(lease: int) -> str:
-    """The path that renews a lease."""
+    """Return the path that renews a lease."""
     return f"{LEASES_PATH}/{lease}/extend"
 
 
 def lease_path(lease: int) -> str:
-    """The path of a lease."""
+    """Return the path of a lease."""
     return f"{LEASES_PATH}/{lease}"
 
 
-def commit(conditions: dict[str, int], writes: list[Write]) -> bytes:
-    """A transaction: the writes are applied if each key still has the revision that its condition names."""
-    message = _Transaction(
+def encode_transaction(conditions: dict[str, int], writes: list[Write]) -> bytes:
+    """Encode a transaction, which is applied if the keys still have the ``mod_revision`` in ``conditions``."""
+    transaction = _Transaction(
         [_Condition(key, mod_revision) for key, mod_revision in conditions.items()],
         [_write_request(write) for write in writes],
     )
-    return cbor.encode_message(message)
+    return cbor.encode_message(transaction)
 
 
 def _write_request(write: Write) -> _PutRequest | _DeleteRequest:
@@ -173,38 +173,38 @@
     return _PutRequest(write.key, write.value, write.lease)
 
 
-def lease_request(ttl_s: float) -> bytes:
-    """A request for a new lease."""
+def encode_lease_request(ttl_s: float) -> bytes:
+    """Encode a request for a new lease."""
     return cbor.encode_message(_LeaseRequest(int(ttl_s * 1000)))
 
 
 def parse_lease(body: bytes) -> int:
-    """The number of a new lease."""
+    """Return the number of a new lease."""
     return cbor.decode(body, _LeaseAnswer).lease
 
 
 def parse_entry(body: bytes) -> Entry:
-    """One key."""
-    return cbor.decode(body, _EntryAnswer).entry()
+    """Return one key with its value."""
+    return cbor.decode(body, _EntryAnswer).to_entry()
 
 
 def parse_revision(body: bytes) -> int:
-    """The store's revision in any answer that carries it."""
+    """Return the store's revision, from any answer that contains it."""
     return cbor.decode(body, _RevisionAnswer).revision
 
 
-def parse_failed(body: bytes) -> tuple[str, ...]:
-    """The keys whose conditions failed."""
+def parse_conflicting_keys(body: bytes) -> tuple[str, ...]:
+    """Return the keys whose conditions were not met."""
     return cbor.decode(body, _ConflictAnswer).conflicting_keys
 
 
 def parse_page(body: bytes) -> EntryPage:
-    """A page of keys."""
+    """Return one page of keys."""
     page = cbor.decode(body, _PageAnswer)
-    return EntryPage([row.entry() for row in page.entries], page.truncated is True, page.revision)
+    return EntryPage([row.to_entry() for row in page.entries], page.truncated is True, page.revision)
 
 
 def parse_changes(body: bytes) -> ChangeBatch:
-    """The changes of a watch."""
-    message = cbor.decode(body, _WatchAnswer)
-    return ChangeBatch([event.change() for event in message.events], message.revision)
+    """Return the changes that a watch request reports."""
+    answer = cbor.decode(body, _WatchAnswer)
+    return ChangeBatch([event.to_change() for event in answer.events], answer.revision)
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -1,4 +1,4 @@
-"""What users send and get."""
+"""Requests of users and the answers to them: paths and bodies."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from passrock.wire import cbor
 
 RUNS_PATH = "/v2/runs"
-WITHDRAW_END = "/withdraw"
+WITHDRAW_SUFFIX = "/withdraw"
 HEALTH_PATH = "/up"
-JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
-TASK_LIMIT = 100_000
+JOB_ID_PATTERN = re.compile(r"wk-[0-9]{1,18}\Z")
+MAX_TASKS_PER_JOB = 100_000
 
-KINDS = {"batch": JobKind.ARRAY, "group": JobKind.GANG, "service": JobKind.SERVICE}
+JOB_KINDS = {"batch": JobKind.ARRAY, "group": JobKind.GANG, "service": JobKind.SERVICE}
 PRIORITIES = {
     "prod": Priority.PRODUCTION,
     "high": Priority.HIGH,
@@ -26,8 +26,8 @@
 
 
 def is_job_id(value: str) -> bool:
-    """Whether a text has the form of a job id."""
-    return JOB_ID.match(value) is not None
+    """Whether a string has the form of a job id."""
+    return JOB_ID_PATTERN.match(value) is not None
 
 
 class _Submission(
@@ -41,7 +41,7 @@
         "tasks": "volumes",
         "cpus": "cores",
         "gpus": "cards",
-        "memory": "ramGb",
+        "memory_gb": "ramGb",
         "image": "edition",
         "image_gb": "imageGb",
         "single_zone": "samePlace",
@@ -50,7 +50,7 @@
         "estimated_run_s": "loanS",
         "checkpoint_interval_s": "bookmarkS",
         "checkpoint_save_s": "shelveS",
-        "types": "bindings",
+        "machine_types": "bindings",
         "zone": "branch",
         "deadline_s": "dueS",
     },
@@ -60,10 +60,10 @@
     team: cbor.Text
     kind: cbor.Text
     priority: cbor.Text
-    tasks: Annotated[int, msgspec.Meta(ge=1, le=TASK_LIMIT)]
+    tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
     cpus: cbor.Number
     gpus: cbor.Number
-    memory: cbor.Number
+    memory_gb: cbor.Number
     image: cbor.Text
     image_gb: cbor.Number
     single_zone: bool
@@ -72,17 +72,21 @@
     estimated_run_s: cbor.Number
     checkpoint_interval_s: cbor.Number
     checkpoint_save_s: cbor.Number
-    types: tuple[cbor.TextOrEmpty, ...] | None = None
+    machine_types: tuple[cbor.TextOrEmpty, ...] | None = None
     zone: cbor.Text | None = None
     deadline_s: cbor.Number | None = None
 
 
 def parse_submission(body: bytes) -> JobSpec:
-    """A submission; raises MalformedBodyError when anything in it is missing or wrong."""
+    """Decode a submission.
+
+    Raises:
+        MalformedBodyError: a field is missing or invalid.
+    """
     message = cbor.decode(body, _Submission)
     if not is_job_id(message.job):
         raise cbor.MalformedBodyError("ref: not a job id")
-    kind = KINDS.get(message.kind)
+    kind = JOB_KINDS.get(message.kind)
     priority = PRIORITIES.get(message.priority)
     if kind is None or priority is None:
         raise cbor.MalformedBodyError("format or precedence: unknown value")
@@ -93,10 +97,10 @@
         kind=kind,
         priority=priority,
         tasks=message.tasks,
-        resources=Resources(message.cpus, message.gpus, message.memory),
+        resources=Resources(message.cpus, message.gpus, message.memory_gb),
         image=message.image,
         image_gb=message.image_gb,
-        machine_types=message.types,
+        machine_types=message.machine_types,
         zone=message.zone,
         single_zone=message.single_zone,
         spread_zones=message.spread_zones,
@@ -108,16 +112,16 @@
     )
 
 
-def brief_answer(job_id: str, status: str) -> bytes:
-    """The answer to a submission or cancellation."""
+def encode_brief_answer(job_id: str, status: str) -> bytes:
+    """Encode the answer to a submission or cancellation."""
     return cbor.encode({"ref": job_id, "status": status})
 
 
-def full_answer(job_id: str, status: str, done: int, running: int) -> bytes:
-    """The answer to a query."""
+def encode_full_answer(job_id: str, status: str, done: int, running: int) -> bytes:
+    """Encode the answer to a query of a job, with its numbers of completed and running tasks."""
     return cbor.encode({"ref": job_id, "status": status, "done": done, "running": running})
 
 
-def error_answer(reason: str) -> bytes:
-    """The body of a refusal."""
+def encode_error_answer(reason: str) -> bytes:
+    """Encode the body of an error answer."""
     return cbor.encode({"error": reason})
--- a/src/passrock/wire/workers.py
+++ b/src/passrock/wire/workers.py
@@ -1,4 +1,4 @@
-"""Check-ins of workers and the answers to them."""
+"""Heartbeats of workers and the answers to them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 CHECKIN_PATH = "/checkin"
 
-STATES = {
+TASK_STATES = {
     "fetching": TaskState.FETCHING,
     "gathering": TaskState.WAITING,
     "running": TaskState.RUNNING,
@@ -29,14 +29,15 @@
 COMMAND_KINDS = {CommandKind.START: "launch", CommandKind.STOP: "halt", CommandKind.ACKNOWLEDGE_EXIT: "clear"}
 
 
-class _Task(
-    msgspec.Struct, rename={"name": "volume", "attempt_number": "renewal", "reason": "remark", "saved": "kept"}
+class _TaskReport(
+    msgspec.Struct,
+    rename={"name": "volume", "attempt_number": "renewal", "reason": "remark", "checkpoint_saved": "kept"},
 ):
     name: cbor.Text
     attempt_number: cbor.Count
     status: cbor.Text
     reason: object = None
-    saved: object = None
+    checkpoint_saved: object = None
 
 
 class _Heartbeat(
@@ -49,7 +50,7 @@
         "incarnation": "shift",
         "sequence": "accession",
         "token": "warrant",
-        "notice": "recallS",
+        "reclaim_in_s": "recallS",
         "tasks": "volumes",
     },
 ):
@@ -60,12 +61,12 @@
     incarnation: cbor.Count
     sequence: cbor.Count
     token: cbor.Count
-    tasks: list[_Task]
-    notice: cbor.Number | None = None
+    tasks: list[_TaskReport]
+    reclaim_in_s: cbor.Number | None = None
 
 
-def split_task(name: str) -> tuple[str, int]:
-    """A task's name as its job and number."""
+def split_task_name(name: str) -> tuple[str, int]:
+    """Split a task's name, ``job/index``, into the job's id and the task's index."""
     job, slash, index = name.rpartition("/")
     if not slash or not job or not index.isdigit() or len(index) > 6:
         raise cbor.MalformedBodyError(f"no task name: {name[:40]}")
@@ -73,7 +74,11 @@
 
 
 def parse_heartbeat(body: bytes) -> WorkerHeartbeat:
-    """A check-in; raises MalformedBodyError on anything unlike one."""
+    """Decode a heartbeat.
+
+    Raises:
+        MalformedBodyError: a field is missing or invalid.
+    """
     message = cbor.decode(body, _Heartbeat)
     cbor.check_counts(message.incarnation, message.sequence, message.token)
     return WorkerHeartbeat(
@@ -84,38 +89,38 @@
         incarnation=message.incarnation,
         sequence=message.sequence,
         token=message.token,
-        reclaim_in_s=message.notice,
+        reclaim_in_s=message.reclaim_in_s,
         tasks=[_task_status(task) for task in message.tasks],
     )
 
 
-def _task_status(task: _Task) -> TaskStatus:
-    state = STATES.get(task.status)
+def _task_status(task: _TaskReport) -> TaskStatus:
+    state = TASK_STATES.get(task.status)
     if state is None:
         raise cbor.MalformedBodyError("status: unknown value")
     cbor.check_counts(task.attempt_number)
-    job, index = split_task(task.name)
+    job, index = split_task_name(task.name)
     reason = ExitReason.UNSPECIFIED
     if isinstance(task.reason, str):
         reason = EXIT_REASONS.get(task.reason, ExitReason.UNSPECIFIED)
-    return TaskStatus(job, index, task.attempt_number, state, reason, task.saved is True)
+    return TaskStatus(job, index, task.attempt_number, state, reason, task.checkpoint_saved is True)
 
 
-def answer(token: int, commands: list[Command]) -> bytes:
-    """The body of a 200."""
-    slips = []
+def encode_answer(token: int, commands: list[Command]) -> bytes:
+    """Encode the body of an answer with status 200: the fencing token and the commands for the worker."""
+    encoded_commands = []
     for command in commands:
-        slip: dict[str, object] = {
+        fields: dict[str, object] = {
             "slipKind": COMMAND_KINDS[command.kind],
             "volume": f"{command.job}/{command.index}",
             "renewal": command.attempt_number,
         }
         if command.kind is CommandKind.STOP:
-            slip["graceS"] = command.grace_s
-        slips.append(slip)
-    return cbor.encode({"warrant": token, "slips": slips})
+            fields["graceS"] = command.grace_s
+        encoded_commands.append(fields)
+    return cbor.encode({"warrant": token, "slips": encoded_commands})
 
 
-def redirect(node: str | None) -> bytes:
-    """The body of a 421."""
+def encode_redirect(node: str | None) -> bytes:
+    """Encode the body of an answer with status 421: the controller to contact, where one is known."""
     return cbor.encode({} if node is None else {"returnDesk": node})
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -256,38 +256,40 @@
     **{f"users/submission_{name}": users.parse_submission for name in ("array", "gang", "service", "low")},
     "workers/report": workers.parse_heartbeat,
     "workers/report_minimal": workers.parse_heartbeat,
-    "cloud/machine_types": cloud.parse_types,
-    "cloud/rented": cloud.parse_rented,
-    "cloud/machines": cloud.parse_list,
-    "cloud/machines_last_page": cloud.parse_list,
+    "cloud/machine_types": cloud.parse_machine_types,
+    "cloud/rented": cloud.parse_provisioned_machines,
+    "cloud/machines": cloud.parse_machine_page,
+    "cloud/machines_last_page": cloud.parse_machine_page,
     "state/lease": store.parse_lease,
     "state/entry": store.parse_entry,
     "state/revision": store.parse_revision,
-    "state/failed": store.parse_failed,
+    "state/failed": store.parse_conflicting_keys,
     "state/page": store.parse_page,
     "state/page_last": store.parse_page,
     "state/changes": store.parse_changes,
 }
 # fixture -> the encoder of a body that is sent to others, called with the fixture's values
 ENCODERS = {
-    "users/brief_answer": users.brief_answer,
-    "users/full_answer": users.full_answer,
-    "users/error_answer": users.error_answer,
-    "workers/answer": lambda token, commands: workers.answer(token, [make_command(one) for one in commands]),
-    "workers/redirect": workers.redirect,
-    "workers/redirect_nowhere": workers.redirect,
-    "cloud/rental": cloud.rental,
-    "cloud/deletion": cloud.deletion,
-    "state/commit": lambda conditions, writes: store.commit(dict(conditions), [make_write(one) for one in writes]),
-    "state/lease_request": store.lease_request,
+    "users/brief_answer": users.encode_brief_answer,
+    "users/full_answer": users.encode_full_answer,
+    "users/error_answer": users.encode_error_answer,
+    "workers/answer": lambda token, commands: workers.encode_answer(token, [make_command(one) for one in commands]),
+    "workers/redirect": workers.encode_redirect,
+    "workers/redirect_nowhere": workers.encode_redirect,
+    "cloud/rental": cloud.encode_provisioning_request,
+    "cloud/deletion": cloud.encode_deletion_request,
+    "state/commit": lambda conditions, writes: store.encode_transaction(
+        dict(conditions), [make_write(one) for one in writes]
+    ),
+    "state/lease_request": store.encode_lease_request,
 }
 # name in wire/paths.json -> constant, or function with its arguments there
 PATHS = {
     "users runs": users.RUNS_PATH,
-    "users withdraw": users.WITHDRAW_END,
+    "users withdraw": users.WITHDRAW_SUFFIX,
     "users health": users.HEALTH_PATH,
     "workers checkin": workers.CHECKIN_PATH,
-    "cloud types": cloud.TYPES_PATH,
+    "cloud types": cloud.MACHINE_TYPES_PATH,
     "cloud rentals": cloud.RENTALS_PATH,
     "cloud delete": cloud.DELETE_PATH,
     "cloud list": cloud.list_path,
@@ -593,7 +595,7 @@
         make_settings(),
         client,
         cloud_client(http),
-        MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor"))),
+        MachineCatalog(cloud.parse_machine_types(golden("cloud/machine_types.cbor"))),
         MachineInventory(MachineHealth(1.0, 10.0, 0.36, 0.0), leadership.term),
         leadership,
         on_machine_lost=lambda name: None,
@@ -760,7 +762,7 @@
 def test_golden_submission_gets_the_golden_answer(wall_clock):
     async def main():
         node = make_node(RecordingHttp())
-        node.catalog.types = cloud.parse_types(golden("cloud/machine_types.cbor"))
+        node.catalog.types = cloud.parse_machine_types(golden("cloud/machine_types.cbor"))
         return await node.handle(Request("POST", "/v2/runs", golden("users/submission_known_team.cbor")))
 
     answer = virtual_time.run(main())
@@ -1033,7 +1035,7 @@
         client = state_client(http)
         replica = make_replica(client, unreadable(entries, key))
         leadership = make_leadership(client, replica)
-        catalog = MachineCatalog(cloud.parse_types(golden("cloud/machine_types.cbor")))
+        catalog = MachineCatalog(cloud.parse_machine_types(golden("cloud/machine_types.cbor")))
         settings, peers = make_settings(), PeerTable([], 1.0)
         renewal = RenewalPolicy(settings, leadership, client, replica, peers)
         cloud_http = cloud_client(http)
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -142,7 +142,7 @@
         Command(CommandKind.STOP, "wk-2", 1, 1, 10.0),
         Command(CommandKind.ACKNOWLEDGE_EXIT, "wk-3", 0, 1),
     ]
-    assert cbor2.loads(workers.answer(41, commands)) == {
+    assert cbor2.loads(workers.encode_answer(41, commands)) == {
         "warrant": 41,
         "slips": [
             {"slipKind": "launch", "volume": "wk-1/0", "renewal": 3},
@@ -150,21 +150,21 @@
             {"slipKind": "clear", "volume": "wk-3/0", "renewal": 1},
         ],
     }
-    assert cbor2.loads(workers.redirect("n1")) == {"returnDesk": "n1"}
-    assert cbor2.loads(workers.redirect(None)) == {}
+    assert cbor2.loads(workers.encode_redirect("n1")) == {"returnDesk": "n1"}
+    assert cbor2.loads(workers.encode_redirect(None)) == {}
 
 
 @pytest.mark.parametrize(
     ("parse", "raw"),
     [
-        (cloud.parse_types, {"bindings": [{"sku": "g8"}]}),
-        (cloud.parse_rented, {"stacks": [1]}),
-        (cloud.parse_list, {"stacks": [{"ref": "host-1"}], "truncated": False}),
+        (cloud.parse_machine_types, {"bindings": [{"sku": "g8"}]}),
+        (cloud.parse_provisioned_machines, {"stacks": [1]}),
+        (cloud.parse_machine_page, {"stacks": [{"ref": "host-1"}], "truncated": False}),
         (store.parse_entry, {"key": "a", "v": 1}),
         (store.parse_changes, {"ledger": 3, "events": [{"set": 4}]}),
         (store.parse_page, {"entries": [], "truncated": False}),
         (store.parse_lease, {"loan": "7"}),
-        (store.parse_failed, {}),
+        (store.parse_conflicting_keys, {}),
     ],
 )
 def test_malformed_answers_are_refused(parse, raw):
@@ -173,7 +173,7 @@
 
 
 def test_state_transaction():
-    raw = store.commit({"a": 3}, [store.Put("a", {"x": 1}, 7), store.Put("b", 2), store.Delete("c")])
+    raw = store.encode_transaction({"a": 3}, [store.Put("a", {"x": 1}, 7), store.Put("b", 2), store.Delete("c")])
     assert cbor2.loads(raw) == {
         "if": [{"key": "a", "stamp": 3}],
         "apply": [{"set": "a", "v": {"x": 1}, "loan": 7}, {"set": "b", "v": 2}, {"drop": "c"}],
