--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start passrock from a checkout: puts the built libraries and the sources on the path."""
+"""Run passrock from a checkout, with the sources and the built libraries on the module path."""
 
 import sys
 from pathlib import Path
--- a/src/passrock/__main__.py
+++ b/src/passrock/__main__.py
@@ -1,19 +1,19 @@
-"""Start passrock: ``python -m passrock``, or as the script that the build puts beside the built libraries.
+"""Entry point of ``python -m passrock``, and of the script that the build puts beside the libraries.
 
-A controller is started with ``--config FILE``. That form goes straight to the service, without the modules that only
-the command line needs: on a small share of a core their import is seconds in which nobody is served.
+A controller is started with ``--config FILE`` alone. This form does not import the modules that only the command line
+needs: with a fraction of a core their import takes seconds, during which no requests are served.
 """
 
 import sys
 
 
 def start(arguments: list[str]) -> int:
-    """Serve, or hand the arguments to the command line; returns the exit code."""
+    """Run a controller, or the command line; return the exit code."""
     if len(arguments) == 2 and arguments[0] == "--config":
-        sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]  # asyncio does without, and no connection uses it
-        from passrock.serving import serve_from
+        sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]  # unused, and asyncio works without it
+        from passrock.serving import run_controller
 
-        return serve_from(arguments[1])
+        return run_controller(arguments[1])
     from passrock.cli import main
 
     return main(arguments)
--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -148,7 +148,7 @@
             1.0 - self.clock.elapsed_fraction(wall_clock_now) if self.clock.slot_at(wall_clock_now) == slot else 1.0
         )
         writes = self.settings.state_write_rps * self.clock.length_s * remaining_fraction * self.pacer.share
-        node_count = self.settings.nodes
+        node_count = self.settings.node_count
         follower = writes * rate_share(leading=False, nodes=node_count) * self.admission.intake_share
         leader = writes * rate_share(leading=True, nodes=node_count) * self.admission.leader_intake_share
         return {node: max(1, math.floor(leader if node == self.settings.node else follower)) for node in nodes}
--- a/src/passrock/cli.py
+++ b/src/passrock/cli.py
@@ -1,4 +1,4 @@
-"""The command line: options and commands of an operator."""
+"""The command line: options and commands for operators."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import sys
 
 from passrock import __version__
-from passrock.serving import EXIT_FAULTY_SETTINGS, serve_from
+from passrock.serving import EXIT_INVALID_SETTINGS, run_controller
 from passrock.settings import FilePath, SettingsError, read_settings, resource_warnings
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The options and commands."""
+    """Return the parser of the options and commands."""
     parser = argparse.ArgumentParser(
         prog="passrock",
         description="Cluster scheduler: runs a controller, or checks its settings.",
@@ -40,7 +40,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; returns the exit code."""
+    """Run the command line and return the exit code."""
     args = build_parser().parse_args(argv)
     if args.command == "check-config":
         return check_config(args.file, args.operator)
@@ -51,18 +51,18 @@
     if args.config is None:
         build_parser().print_usage(sys.stderr)
         print("passrock: give --config FILE or a command", file=sys.stderr)
-        return EXIT_FAULTY_SETTINGS
-    return serve_from(args.config, args.operator)
+        return EXIT_INVALID_SETTINGS
+    return run_controller(args.config, args.operator)
 
 
 def check_config(path: FilePath, operator_paths: list[FilePath]) -> int:
-    """Print every fault of a settings file; returns the exit code."""
+    """Print every fault of the settings files, and the warnings if there are none; return the exit code."""
     try:
         settings = read_settings(path, operator_paths)
-    except SettingsError as error:
-        for fault in error.faults:
+    except SettingsError as exc:
+        for fault in exc.faults:
             print(fault, file=sys.stderr)
-        return EXIT_FAULTY_SETTINGS
+        return EXIT_INVALID_SETTINGS
     for warning in resource_warnings(settings):
         print(f"warning: {warning}", file=sys.stderr)
     print(f"{path}: fine")
--- a/src/passrock/controller/health.py
+++ b/src/passrock/controller/health.py
@@ -45,4 +45,4 @@
         heartbeats = self.peers.heartbeats(now - MAX_PEER_ANSWER_AGE_S)
         if any(not heartbeat.store_down for heartbeat in heartbeats):
             return False
-        return is_majority(len(heartbeats) + 1, self.settings.nodes)
+        return is_majority(len(heartbeats) + 1, self.settings.node_count)
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -60,7 +60,7 @@
         self.leadership = leadership
         self.renewal = renewal
         self.peers = peers
-        self.fence = TermFence(leadership, peers, settings.nodes)
+        self.fence = TermFence(leadership, peers, settings.node_count)
         self.catalog = catalog
         self.ready = False
         self.tasks: list[asyncio.Task[None]] = []
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -111,7 +111,7 @@
 
     def _set_store_rates(self, *, leading: bool) -> None:
         """Set this controller's share of the store's rates: the leader needs most, followers divide the rest."""
-        share = rate_share(leading=leading, nodes=self.settings.nodes)
+        share = rate_share(leading=leading, nodes=self.settings.node_count)
         for budget, rate in (
             (self.store.request_bucket, self.settings.state_rps),
             (self.store.write_bucket, self.settings.state_write_rps),
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -36,7 +36,7 @@
         replica: Replica,
         peers: PeerTable,
     ) -> None:
-        self.nodes = settings.nodes
+        self.nodes = settings.node_count
         self.leadership = leadership
         self.store = store
         self.replica = replica
--- a/src/passrock/logs.py
+++ b/src/passrock/logs.py
@@ -1,4 +1,4 @@
-"""Logging: one line an event, ``event key=value ...``, on standard error, bounded in length."""
+"""Logging: events are written to standard error as lines ``event key=value ...`` of bounded length."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import sys
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-LINE_LIMIT = 400  # characters
+MAX_LINE_CHARS = 400
 log = logging.getLogger("passrock")
 
 
 def start_logging(node: str) -> None:
-    """Send the log to standard error at the level that LOG_LEVEL names; any other value counts as ``info``."""
+    """Write the log to standard error at the level in the variable LOG_LEVEL; unknown values count as ``info``."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s %(levelname).1s {node} %(message)s"))
     log.handlers[:] = [handler]
@@ -20,23 +20,23 @@
     log.setLevel(LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO))
 
 
-def event(level: int, name: str, **facts: object) -> None:
-    """Write one event with its facts, cut off at ``LINE_LIMIT`` characters."""
+def event(level: int, name: str, **fields: object) -> None:
+    """Log an event with its fields, truncated to ``MAX_LINE_CHARS`` characters."""
     if log.isEnabledFor(level):
-        line = " ".join([name, *(f"{key}={value}" for key, value in facts.items())])
-        log.log(level, "%s", line if len(line) <= LINE_LIMIT else line[: LINE_LIMIT - 3] + "...")
+        line = " ".join([name, *(f"{key}={value}" for key, value in fields.items())])
+        log.log(level, "%s", line if len(line) <= MAX_LINE_CHARS else line[: MAX_LINE_CHARS - 3] + "...")
 
 
-def info(name: str, **facts: object) -> None:
-    """An event worth keeping on ordinary days."""
-    event(logging.INFO, name, **facts)
+def info(name: str, **fields: object) -> None:
+    """Log an event that operators need in normal operation."""
+    event(logging.INFO, name, **fields)
 
 
-def debug(name: str, **facts: object) -> None:
-    """An event for someone following a single task."""
-    event(logging.DEBUG, name, **facts)
+def debug(name: str, **fields: object) -> None:
+    """Log a detailed event, for diagnosis."""
+    event(logging.DEBUG, name, **fields)
 
 
-def error(name: str, **facts: object) -> None:
-    """Something that should not happen."""
-    event(logging.ERROR, name, **facts)
+def error(name: str, **fields: object) -> None:
+    """Log an event that should not occur."""
+    event(logging.ERROR, name, **fields)
--- a/src/passrock/settings/__init__.py
+++ b/src/passrock/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of a controller: the platform's TOML file and the operators' HCL files, checked as a whole.
+"""Settings of a controller, from the platform's TOML file and the operators' HCL files.
 
-``read_settings`` is the way in. ``docs/settings.md`` lists every setting.
+``read_settings`` reads and checks all files. ``docs/settings.md`` lists every setting.
 """
 
 from __future__ import annotations
--- a/src/passrock/settings/faults.py
+++ b/src/passrock/settings/faults.py
@@ -1,14 +1,14 @@
-"""The error that carries every fault of the settings files."""
+"""The exception that lists every fault of the settings files."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """Settings files that can't be used.
+    """The settings files are invalid or cannot be read.
 
     Attributes:
-        faults: One text for each fault, with the path of the setting; all that were found, not just the first, so
-            that one look at the output mends the file.
+        faults: one message for each fault, with the path of the setting. All faults found are listed, not only the
+            first, so that an operator can correct them at once.
     """
 
     def __init__(self, faults: list[str]) -> None:
--- a/src/passrock/settings/files.py
+++ b/src/passrock/settings/files.py
@@ -1,4 +1,4 @@
-"""Reading of all settings files of a controller."""
+"""Reading of all the settings files of a controller."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def read_settings(path: FilePath, operator_paths: Sequence[FilePath] = ()) -> Settings:
-    """Read and check the platform's file and the operators' ones.
+    """Read and check the platform's file and the operators' files.
 
     Raises:
-        SettingsError: With every fault of all files; or that the platform's file can't be read, alone.
+        SettingsError: with the faults of all files; if the platform's file cannot be read, with this fault only.
     """
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise SettingsError([f"{path}: {error}"]) from error
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as exc:
+        raise SettingsError([f"{path}: {exc}"]) from exc
     faults: list[str] = []
     files = read_operator_files(operator_paths, faults) if operator_paths else OperatorFiles()
     settings = parse_settings(data, files.operator, faults)
--- a/src/passrock/settings/model.py
+++ b/src/passrock/settings/model.py
@@ -1,4 +1,4 @@
-"""Types of the settings. Field names are those of the files."""
+"""Types of the settings. Most fields are named like the settings in the files; the operators' settings all are."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True):
-    """Operators' own settings, mostly ratios to the platform's figures. Defaults stand in deploy/passrock.hcl too."""
+    """Settings that operators choose, mostly ratios to the platform's; deploy/passrock.hcl repeats the defaults."""
 
     leader_lease_ratio: float = 0.25
     silent_ratio: float = 0.36
@@ -48,7 +48,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """Everything a controller is told at its start; ``_s`` in a name is seconds, ``_rps`` a rate a second."""
+    """All settings of a controller; names ending in ``_s`` are in seconds, in ``_rps`` in requests per second."""
 
     node: str
     zone: str
@@ -60,7 +60,7 @@
     zones: tuple[str, ...]
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
-    report_s: float  # between two heartbeats of a worker
+    report_s: float  # interval between the heartbeats of a worker
     lease_s: float
     gang_peer_s: float
     cancel_s: float
@@ -71,17 +71,17 @@
     cloud_rps: float
     list_lag_s: float
     fd_limit: int
-    cpu: float  # the share of a core that a controller has
+    cpu: float  # cores available to a controller
     memory_mb: float
     operator: OperatorSettings = msgspec.field(default_factory=OperatorSettings)
-    admission: AdmissionSettings | None = None  # None: switched off
+    admission: AdmissionSettings | None = None  # None: disabled
 
     @property
-    def nodes(self) -> int:
-        """How many controllers there are, this one included."""
+    def node_count(self) -> int:
+        """Return the number of controllers, including this one."""
         return len(self.peers) + 1
 
     @property
     def leader_lease_s(self) -> float:
-        """How long a leader's key lives without renewal."""
+        """Return the duration of the lease on the leader key."""
         return self.lease_s * self.operator.leader_lease_ratio
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -1,4 +1,4 @@
-"""The operators' HCL files: their own settings, and the blocks of subsystems that they switch on."""
+"""The operators' HCL files: settings of the scheduler, and blocks that enable subsystems."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     "keep_room_ratio": (0.02, 1.0),
     "socket_share": (0.2, 0.95),
 }
-PARSER_NOTE_PREFIX = "__"  # of keys that the HCL parser adds by itself
-PARSER_ERROR_LIMIT = 200  # characters; the parser quotes its whole grammar otherwise
+PARSER_METADATA_PREFIX = "__"  # of keys that the HCL parser adds
+MAX_PARSER_ERROR_CHARS = 200  # the parser's messages may contain its whole grammar
 
 
 class OperatorFiles(msgspec.Struct):
-    """What all operators' files together hold."""
+    """The settings of all operators' files together."""
 
     operator: OperatorSettings = msgspec.field(default_factory=OperatorSettings)
-    admission: AdmissionSettings | None = None  # None: switched off
+    admission: AdmissionSettings | None = None  # None: disabled
 
 
 def read_operator_files(paths: Sequence[FilePath], faults: list[str]) -> OperatorFiles:
-    """Read HCL files, each setting from one of them; unknown and out-of-range entries are faults by name."""
+    """Read HCL files; each setting may occur in one of them. Faults are appended to ``faults``."""
     values: dict[str, float] = {}
     admission: AdmissionSettings | None = None
     for path in paths:
@@ -44,24 +44,24 @@
         for key, value in _load_hcl(path, faults).items():
             if key == "admission":
                 admission = _read_admission(admission, value, where, faults)
-            elif not key.startswith(PARSER_NOTE_PREFIX):
-                _read_ratio(values, key, value, where, faults)
+            elif not key.startswith(PARSER_METADATA_PREFIX):
+                _read_number(values, key, value, where, faults)
     return OperatorFiles(OperatorSettings(**values), admission)
 
 
 def _load_hcl(path: FilePath, faults: list[str]) -> dict[str, Any]:
-    """The file's entries; none where it can't be read."""
-    import hcl2  # a slow import, and only needed where operators have such a file
+    """Return the file's entries, none if it cannot be read."""
+    import hcl2  # slow to import, and only needed if there are operators' files
 
     try:
         with open(path, encoding="utf-8") as file:
             return hcl2.load(file)
-    except Exception as error:  # noqa: BLE001 - the parser raises many kinds, all of which mean an unreadable file
-        faults.append(f"{path}: {' '.join(str(error).split())[:PARSER_ERROR_LIMIT]}")
+    except Exception as exc:  # noqa: BLE001 - the parser raises exceptions of many types for an unreadable file
+        faults.append(f"{path}: {' '.join(str(exc).split())[:MAX_PARSER_ERROR_CHARS]}")
         return {}
 
 
-def _read_ratio(values: dict[str, float], key: str, value: object, where: str, faults: list[str]) -> None:
+def _read_number(values: dict[str, float], key: str, value: object, where: str, faults: list[str]) -> None:
     if key not in RANGES:
         faults.append(f"{where}: {key}: unknown setting")
         return
@@ -77,12 +77,12 @@
 
 
 def _read_admission(
-    earlier: AdmissionSettings | None, value: object, where: str, faults: list[str]
+    previous: AdmissionSettings | None, value: object, where: str, faults: list[str]
 ) -> AdmissionSettings | None:
-    from passrock.admission.settings import parse_admission  # not loaded where it is switched off
+    from passrock.admission.settings import parse_admission  # not loaded where it is disabled
 
     blocks = value if isinstance(value, list) else [value]
-    if earlier is not None or len(blocks) != 1 or not isinstance(blocks[0], dict):
+    if previous is not None or len(blocks) != 1 or not isinstance(blocks[0], dict):
         faults.append(f"{where}: admission: one block is required")
-        return earlier
+        return previous
     return parse_admission(blocks[0], where, faults)
--- a/src/passrock/settings/platform_file.py
+++ b/src/passrock/settings/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's TOML file, turned into settings."""
+"""Conversion of the platform's TOML file into settings."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from passrock.settings.model import OperatorSettings, Peer, Settings
 from passrock.settings.table_reader import TableReader
 
-LEAST_VALUE_KB = 1.0
-LEAST_TXN_OPS = 4  # a submission or a task page with its condition, and the leader's key
-LEAST_FD_LIMIT = 32
+MIN_VALUE_KB = 1.0
+MIN_TXN_OPS = 4  # a submission or a page of tasks with its condition, and the leader key
+MIN_FD_LIMIT = 32
 BYTES_PER_KB = 1024
 
 
 def parse_settings(data: dict[str, Any], operator: OperatorSettings, faults: list[str]) -> Settings:
-    """Turn the platform's table into settings.
+    """Convert the platform's table into settings.
 
     Args:
-        data: The file as nested tables; keys that are not known are ignored, since the platform may add some.
-        operator: The operators' settings, read already.
-        faults: Every fault is appended here. With any, the settings returned must not be used.
+        data: the file as nested tables; unknown keys are ignored, since the platform may add some.
+        operator: the operators' settings.
+        faults: the list to which every fault is appended. If there are any, the settings returned must not be used.
     """
     root = TableReader(data, "", faults)
     outside = root.subtable("outside")
@@ -31,14 +31,14 @@
     store = deployment.subtable("state")
     cloud = deployment.subtable("cloud")
     resources = deployment.subtable("resources")
-    zones = deployment.texts("zones")
+    zones = deployment.strings("zones")
     peers = _read_peers(root)
     teams = _read_teams(deployment)
     objectives = _read_objectives(deployment)
     faults += cancellation_time_faults(workers.table)
     return Settings(
-        node=root.text("node"),
-        zone=root.text("area"),
+        node=root.string("node"),
+        zone=root.string("area"),
         client_listen=root.address("client_listen"),
         peer_listen=root.address("peer_listen"),
         peers=peers,
@@ -47,33 +47,33 @@
         zones=zones,
         teams=teams,
         objectives=objectives,
-        report_s=workers.positive("report_s"),
-        lease_s=workers.positive("lease_s"),
-        gang_peer_s=workers.positive("gang_peer_s"),
-        cancel_s=workers.positive("cancel_s"),
-        state_rps=store.positive("rps"),
-        state_write_rps=store.positive("write_rps"),
-        value_bytes=int(store.number("value_kb", minimum=LEAST_VALUE_KB) * BYTES_PER_KB),
-        txn_ops=int(store.number("txn_ops", minimum=LEAST_TXN_OPS)),
-        cloud_rps=cloud.positive("rps"),
+        report_s=workers.positive_number("report_s"),
+        lease_s=workers.positive_number("lease_s"),
+        gang_peer_s=workers.positive_number("gang_peer_s"),
+        cancel_s=workers.positive_number("cancel_s"),
+        state_rps=store.positive_number("rps"),
+        state_write_rps=store.positive_number("write_rps"),
+        value_bytes=int(store.number("value_kb", minimum=MIN_VALUE_KB) * BYTES_PER_KB),
+        txn_ops=int(store.number("txn_ops", minimum=MIN_TXN_OPS)),
+        cloud_rps=cloud.positive_number("rps"),
         list_lag_s=cloud.number("list_lag_s"),
-        fd_limit=int(resources.number("fd_limit", minimum=LEAST_FD_LIMIT)),
-        cpu=resources.positive("cpu"),
-        memory_mb=resources.positive("mem_mb"),
+        fd_limit=int(resources.number("fd_limit", minimum=MIN_FD_LIMIT)),
+        cpu=resources.positive_number("cpu"),
+        memory_mb=resources.positive_number("mem_mb"),
         operator=operator,
     )
 
 
 def _read_peers(root: TableReader) -> tuple[Peer, ...]:
-    return tuple(Peer(row.text("node"), row.text("area"), row.address("endpoint")) for row in root.rows("peers"))
+    return tuple(Peer(row.string("node"), row.string("area"), row.address("endpoint")) for row in root.rows("peers"))
 
 
 def _read_teams(deployment: TableReader) -> dict[str, Team]:
     teams: dict[str, Team] = {}
     for row in deployment.rows("teams"):
-        name = row.text("name")
+        name = row.string("name")
         if name in teams:
-            row.fault("name", f"{name} stands there twice")
+            row.add_fault("name", f"{name} stands there twice")
         teams[name] = Team(
             name=name,
             guaranteed_cpus=row.number("cpus", default=0.0),
@@ -87,8 +87,8 @@
 def _read_objectives(deployment: TableReader) -> tuple[Objective, ...]:
     return tuple(
         Objective(
-            kind=row.text("kind"),
-            job_class=row.text("class", default=""),
+            kind=row.string("kind"),
+            job_class=row.string("class", default=""),
             within_s=row.number("within_s", default=0.0),
             share=row.number("share", default=0.0),
         )
--- a/src/passrock/settings/table_reader.py
+++ b/src/passrock/settings/table_reader.py
@@ -1,7 +1,7 @@
-"""Decoding of nested tables field by field, so that one pass names every fault.
+"""Decoding of nested tables field by field, so that one pass reports every fault.
 
-``msgspec`` would stop at the first one. After a fault the reader goes on with a stand-in value of the right type; the
-settings made of it are never used, since ``read_settings`` raises.
+``msgspec`` would stop at the first fault. The reader instead continues with a placeholder of the right type; settings
+that contain placeholders are never used, since ``read_settings`` raises an exception.
 """
 
 from __future__ import annotations
@@ -10,94 +10,94 @@
 
 from passrock.settings.model import Address
 
-NUMBER_STAND_IN = 1.0
-ADDRESS_STAND_IN = Address("0.0.0.0", 1)
-LARGEST_PORT = 65535
-LARGEST_OCTET = 255
+PLACEHOLDER_NUMBER = 1.0
+PLACEHOLDER_ADDRESS = Address("0.0.0.0", 1)
+MAX_PORT = 65535
+MAX_OCTET = 255
 
 
 class TableReader:
-    """Typed fields of one table; faults are appended to a list that all readers of a file share."""
+    """Reads typed fields of one table, and appends faults to a list that is shared by all readers of a file."""
 
     def __init__(self, table: dict[str, Any], path: str, faults: list[str]) -> None:
         self.table = table
-        self.path = path  # of the table, up to and with the last dot: what faults put before a key
+        self.path = path  # of the table, with the dot that separates it from a key; empty for the root table
         self.faults = faults
 
-    def fault(self, key: str, text: str) -> None:
-        """Note a fault of one field."""
-        self.faults.append(f"{self.path}{key}: {text}")
+    def add_fault(self, key: str, message: str) -> None:
+        """Add a fault of one field."""
+        self.faults.append(f"{self.path}{key}: {message}")
 
     def subtable(self, key: str) -> TableReader:
-        """A reader of a table below this one; of an empty one where it is missing or something else."""
+        """Return a reader of a nested table; if it is missing or not a table, a reader of an empty one."""
         value = self.table.get(key)
         if not isinstance(value, dict):
-            self.fault(key, "a table is required")
+            self.add_fault(key, "a table is required")
             value = {}
         return TableReader(value, f"{self.path}{key}.", self.faults)
 
     def rows(self, key: str) -> list[TableReader]:
-        """Readers of a list of tables; a missing list is an empty one."""
+        """Return a reader for each table of a list; none if the list is missing."""
         value = self.table.get(key, [])
         if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
-            self.fault(key, "a list of tables is required")
+            self.add_fault(key, "a list of tables is required")
             return []
         return [TableReader(row, f"{self.path}{key}[{i}].", self.faults) for i, row in enumerate(value)]
 
-    def text(self, key: str, default: str | None = None) -> str:
-        """A text, which may be empty only where that is the default."""
+    def string(self, key: str, default: str | None = None) -> str:
+        """Return a string, which may be empty only if the default is."""
         value = self.table.get(key, default)
         if isinstance(value, str) and (value or default == ""):
             return value
-        self.fault(key, "a text is required")
+        self.add_fault(key, "a text is required")
         return ""
 
-    def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts, none of them empty, at least one."""
+    def strings(self, key: str) -> tuple[str, ...]:
+        """Return a list of one or more strings, none of them empty."""
         value = self.table.get(key)
         if isinstance(value, list) and value and all(isinstance(item, str) and item for item in value):
             return tuple(value)
-        self.fault(key, "a list of names is required")
+        self.add_fault(key, "a list of names is required")
         return ("?",)
 
     def number(self, key: str, *, minimum: float = 0.0, default: float | None = None) -> float:
-        """A number of at least ``minimum``."""
-        value = self._any_number(key, default)
+        """Return a number of at least ``minimum``."""
+        value = self._unchecked_number(key, default)
         if value is None:
-            return NUMBER_STAND_IN
-        if not value >= minimum:  # so that NaN is a fault
-            self.fault(key, f"{value} must be at least {minimum}")
-            return NUMBER_STAND_IN
+            return PLACEHOLDER_NUMBER
+        if not value >= minimum:  # written this way so that NaN is a fault
+            self.add_fault(key, f"{value} must be at least {minimum}")
+            return PLACEHOLDER_NUMBER
         return float(value)
 
-    def positive(self, key: str) -> float:
-        """A number above zero."""
-        value = self._any_number(key, None)
+    def positive_number(self, key: str) -> float:
+        """Return a number above zero."""
+        value = self._unchecked_number(key, None)
         if value is None:
-            return NUMBER_STAND_IN
+            return PLACEHOLDER_NUMBER
         if not value > 0.0:
-            self.fault(key, f"{value} must be above 0.0")
-            return NUMBER_STAND_IN
+            self.add_fault(key, f"{value} must be above 0.0")
+            return PLACEHOLDER_NUMBER
         return float(value)
 
-    def _any_number(self, key: str, default: float | None) -> float | None:
+    def _unchecked_number(self, key: str, default: float | None) -> float | None:
         value = self.table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self.fault(key, "a number is required")
+            self.add_fault(key, "a number is required")
             return None
         return value
 
     def address(self, key: str) -> Address:
-        """An address written as IP:port."""
+        """Return an address, written as IP:port."""
         value = self.table.get(key)
         if isinstance(value, str):
             host, colon, port = value.rpartition(":")
-            if colon and _is_ipv4(host) and port.isdigit() and 0 < int(port) <= LARGEST_PORT:
+            if colon and _is_ipv4(host) and port.isdigit() and 0 < int(port) <= MAX_PORT:
                 return Address(host, int(port))
-        self.fault(key, "an address like 10.0.0.1:8080 is required")
-        return ADDRESS_STAND_IN
+        self.add_fault(key, "an address like 10.0.0.1:8080 is required")
+        return PLACEHOLDER_ADDRESS
 
 
 def _is_ipv4(host: str) -> bool:
     octets = host.split(".")
-    return len(octets) == 4 and all(octet.isdigit() and int(octet) <= LARGEST_OCTET for octet in octets)
+    return len(octets) == 4 and all(octet.isdigit() and int(octet) <= MAX_OCTET for octet in octets)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 from passrock.core.model import Team
 from passrock.core.objectives import Objective
 from passrock.settings import OperatorSettings, SettingsError, parse_settings, read_settings, resource_warnings
-from passrock.settings.checks import LEAST_CPU, LEAST_MEMORY_MB
+from passrock.settings.checks import MIN_CPU_CORES, MIN_MEMORY_MB
 from passrock.settings.operator_files import RANGES
 from standins.deployment import node_table
 from standins.loopback_cluster import toml
@@ -296,7 +296,7 @@
 
 def test_the_page_has_the_warnings_of_small_resources():
     table = full_table()
-    for name, key, least in (("cpu", "cpu", LEAST_CPU), ("mem_mb", "mem_mb", LEAST_MEMORY_MB)):
+    for name, key, least in (("cpu", "cpu", MIN_CPU_CORES), ("mem_mb", "mem_mb", MIN_MEMORY_MB)):
         assert PLATFORM[f"deployment.resources.{name}"][1].endswith(f"warning below {least:g}")
         for value, warned in ((least, False), (least * 0.99, True)):
             table["deployment"]["resources"] = {"cpu": 1.0, "mem_mb": 100.0, "fd_limit": 600, key: value}
@@ -339,7 +339,7 @@
     assert capsys.readouterr().err == ""  # no warnings either
     assert set(PLATFORM) <= paths_of(tomllib.loads(example.read_text()))
     settings = read_settings(example)
-    assert settings.nodes == 3
+    assert settings.node_count == 3
     addresses = [settings.client_listen, settings.peer_listen, *(peer.address for peer in settings.peers)]
     assert {address.host for address in addresses} == {"127.0.0.1"}
     assert len(set(addresses)) == len(addresses)
