--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Builds the service below target/service: its libraries, and its own sources with their byte code.
+# Builds the service in target/service: the libraries, and the sources with their byte code.
 #
-# A controller can't write byte code at run time. Without this step every start compiles all sources again, which
-# takes a third of its processor time.
+# A controller cannot write byte code at run time. Without precompiled byte code each start would compile all sources,
+# which is a third of the CPU time of a start.
 set -eu
 cd "$(dirname "$0")/.."
 service=target/service
