--- a/src/passrock/settings/checks.py
+++ b/src/passrock/settings/checks.py
@@ -41,7 +41,7 @@
 
 
 def resource_warnings(settings: Settings) -> list[str]:
-    """Return a warning for each resource limit so small that a controller may be slow or refuse requests."""
+    """Return a warning for each resource limit with which a controller runs, but may be slow or refuse requests."""
     warnings = []
     if settings.cpu < MIN_CPU_CORES:
         warnings.append(
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -36,7 +36,7 @@
 
 
 def read_operator_files(paths: Sequence[FilePath], faults: list[str]) -> OperatorFiles:
-    """Read HCL files; each setting may occur in one of them. Faults are appended to ``faults``."""
+    """Read HCL files; each setting may occur in only one of them. Faults are appended to ``faults``."""
     values: dict[str, float] = {}
     admission: AdmissionSettings | None = None
     for path in paths:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between layers: decisions use no sockets and no clock, and the interfaces' names occur in one place."""
+"""Imports between layers: core uses no sockets and no clock, and only wire uses the field names of the interfaces."""
 
 import ast
 import re
@@ -7,7 +7,7 @@
 import pytest
 
 SOURCES = Path(__file__).parent.parent / "src" / "passrock"
-# layer -> what none of its modules may import
+# layer -> modules that it must not import
 FORBIDDEN = {
     "core": ("asyncio", "socket", "time", "passrock.io", "passrock.controller", "passrock.wire"),
     "wire": ("asyncio", "socket", "time", "passrock.io", "passrock.controller"),
@@ -16,7 +16,7 @@
     "admission/wire": ("asyncio", "socket", "time", "passrock.io", "passrock.controller"),
     "admission/io": ("passrock.controller",),
 }
-# field names of the interfaces that are not terms of this project
+# field names of the interfaces that passrock uses for nothing else
 WIRE_NAMES = (
     "accession",
     "warrant",
@@ -31,7 +31,7 @@
 
 
 def imports(path):
-    """The modules that a source file imports."""
+    """Yield the names of the modules that a source file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("layer", "forbidden"), FORBIDDEN.items())
-def test_layers_import_nothing_from_above(layer, forbidden):
+def test_layers_import_no_forbidden_modules(layer, forbidden):
     found = [
         (path.name, name)
         for path in (SOURCES / layer).glob("*.py")
@@ -51,18 +51,18 @@
 
 
 @pytest.mark.parametrize("name", WIRE_NAMES)
-def test_interface_names_stand_in_wire_only(name):
+def test_interface_names_occur_in_wire_only(name):
     found = {path.parent.name for path in SOURCES.rglob("*.py") if re.search(rf"\b{name}\b", path.read_text())}
     assert found == {"wire"}
 
 
-def test_subsystems_are_loaded_only_where_they_are_switched_on():
-    """Other modules import them inside functions, or for the type checker alone."""
+def test_subsystems_are_loaded_only_if_enabled():
+    """Other modules import subsystems inside functions, or for the type checker only."""
     found = []
     for path in SOURCES.rglob("*.py"):
         if "admission" in path.parts:
             continue
         for node in ast.parse(path.read_text()).body:
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("passrock.admission"):
-                found.append((path.name, node.module))  # noqa: PERF401 - reads better than four nested clauses
+                found.append((path.name, node.module))  # noqa: PERF401 - more readable than four nested clauses
     assert found == []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault is named at once; the command line's exit codes."""
+"""Settings files: all faults are reported together, with their paths; exit codes of the command line."""
 
 import copy
 import os
@@ -23,8 +23,18 @@
 from standins.loopback_cluster import toml
 
 ROOT = Path(__file__).parent.parent
-NOT_NEEDED = {"argparse", "dataclasses", "gettext", "hcl2", "importlib.resources", "lark", "pathlib", "shutil", "ssl"}
-SHOW_MODULES = """
+UNNEEDED_MODULES = {
+    "argparse",
+    "dataclasses",
+    "gettext",
+    "hcl2",
+    "importlib.resources",
+    "lark",
+    "pathlib",
+    "shutil",
+    "ssl",
+}
+PRINT_LOADED_MODULES = """
 import sys
 import passrock.__main__
 assert passrock.__main__.start(["--config", "missing.toml"]) == 2
@@ -33,10 +43,10 @@
 """
 
 
-def change(table, path, value):
-    *way, last = path.split(".")
-    for part in way:
-        table = table[part]
+def set_value(table, path, value):
+    *parents, last = path.split(".")
+    for key in parents:
+        table = table[key]
     if value is None:
         del table[last]
     else:
@@ -58,7 +68,7 @@
         ("deployment.workers.cancel_s", None),
         ("deployment.workers.cancel_s", "35"),
         ("deployment.workers.cancel_s", 0.0),
-        ("deployment.workers.cancel_s", 10.0),  # no longer than a lease: nothing could be kept
+        ("deployment.workers.cancel_s", 10.0),  # equal to lease_s: leaves no renewal horizon
         ("deployment.workers.cancel_s", float("nan")),
         ("deployment.state.txn_ops", 1),
         ("deployment.teams", [{"gpus": 1.0}]),
@@ -70,27 +80,27 @@
         ("peers", [{"node": "x", "area": "a", "endpoint": "nowhere"}]),
     ],
 )
-def test_faults_are_named(path, value):
+def test_faults_name_the_setting(path, value):
     table = node_table(0, 3, ("a", "b", "c"))
-    change(table, path, value)
+    set_value(table, path, value)
     faults = []
     parse_settings(table, OperatorSettings(), faults)
     assert faults
     assert any(path.split(".")[-1] in fault or path.split(".")[0] in fault for fault in faults)
 
 
-def test_every_fault_is_reported_with_its_path_in_the_order_of_reading(tmp_path):
+def test_all_faults_are_reported_with_paths_in_reading_order(tmp_path):
     table = node_table(0, 3, ("a", "b", "c"))
-    change(table, "node", "")
-    change(table, "client_listen", "10.0.0.1")
-    change(table, "outside", None)
-    change(table, "peers", [{"node": "x", "area": 1, "endpoint": "nowhere"}])
-    change(table, "deployment.zones", [])
-    change(table, "deployment.teams", [{"name": "a"}, {"name": "a", "gpus": -1.0}])
-    change(table, "deployment.objectives", 5)
-    change(table, "deployment.workers.cancel_s", 10.0)
-    change(table, "deployment.state", {"rps": 0, "write_rps": "40", "value_kb": 0.5, "txn_ops": 3})
-    change(table, "deployment.resources.fd_limit", 31)
+    set_value(table, "node", "")
+    set_value(table, "client_listen", "10.0.0.1")
+    set_value(table, "outside", None)
+    set_value(table, "peers", [{"node": "x", "area": 1, "endpoint": "nowhere"}])
+    set_value(table, "deployment.zones", [])
+    set_value(table, "deployment.teams", [{"name": "a"}, {"name": "a", "gpus": -1.0}])
+    set_value(table, "deployment.objectives", 5)
+    set_value(table, "deployment.workers.cancel_s", 10.0)
+    set_value(table, "deployment.state", {"rps": 0, "write_rps": "40", "value_kb": 0.5, "txn_ops": 3})
+    set_value(table, "deployment.resources.fd_limit", 31)
     path, first, second = tmp_path / "node.toml", tmp_path / "first.hcl", tmp_path / "second.hcl"
     path.write_text(toml(table))
     first.write_text('round_s = 0\nspeed = 3\nsilent_ratio = "x"\nadmission {\n slot_ratio = 0.5\n}\n')
@@ -126,27 +136,27 @@
 
 def test_check_config(tmp_path, capsys):
     table = node_table(0, 3, ("a", "b", "c"))
-    good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
-    good.write_text(toml(table) + "\n[news]\nunknown = 1\n")
-    change(table, "node", 3)
-    change(table, "deployment.workers.lease_s", -1.0)
-    bad.write_text(toml(table))
-    assert main(["check-config", str(good)]) == 0
+    valid, invalid = tmp_path / "good.toml", tmp_path / "bad.toml"
+    valid.write_text(toml(table) + "\n[news]\nunknown = 1\n")
+    set_value(table, "node", 3)
+    set_value(table, "deployment.workers.lease_s", -1.0)
+    invalid.write_text(toml(table))
+    assert main(["check-config", str(valid)]) == 0
     assert capsys.readouterr().err == ""
-    little = node_table(0, 3, ("a", "b", "c"))
-    change(little, "deployment.resources.cpu", 0.01)
-    good.write_text(toml(little))
-    assert main(["check-config", str(good)]) == 0  # it serves as well as can be
+    small = node_table(0, 3, ("a", "b", "c"))
+    set_value(small, "deployment.resources.cpu", 0.01)
+    valid.write_text(toml(small))
+    assert main(["check-config", str(valid)]) == 0  # small resources are a warning, not a fault
     assert "warning: deployment.resources.cpu" in capsys.readouterr().err
-    assert main(["check-config", str(bad)]) == 2
+    assert main(["check-config", str(invalid)]) == 2
     err = capsys.readouterr().err
     assert "node:" in err
     assert "lease_s" in err
     assert main(["--config", str(tmp_path / "missing.toml")]) == 2
     assert main([]) == 2
-    with pytest.raises(SystemExit) as stop:
+    with pytest.raises(SystemExit) as exit_info:
         main(["--version"])
-    assert stop.value.code == 0
+    assert exit_info.value.code == 0
 
 
 def test_operator_settings(tmp_path):
@@ -166,8 +176,8 @@
     }
 
 
-def test_the_built_service_starts_with_byte_code_and_without_what_only_the_command_line_needs(tmp_path):
-    """At a tenth of a core each 0.1 s of processor time at the start is a second during which nobody is served."""
+def test_built_service_has_byte_code_and_loads_no_unneeded_modules(tmp_path):
+    """With a tenth of a core, each 0.1 s of CPU time at the start is 1 s during which no requests are served."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     checkout = tmp_path / "checkout"
     for folder in ("src", "deploy"):
@@ -176,7 +186,7 @@
     service.mkdir(parents=True)
     for name in ("requirements.txt", "README.md"):
         shutil.copy(ROOT / name, checkout / name)
-    os.utime(checkout / "requirements.txt", (0, 0))  # the libraries count as installed: those of the tests serve here
+    os.utime(checkout / "requirements.txt", (0, 0))  # build.sh installs no libraries; the test environment has them
     subprocess.run(deploy["build"], shell=True, check=True, cwd=checkout)
     program, *options, script, last = deploy["run"].split()
     assert (program, options, last) == ("python3", ["-S"], "--config")
@@ -184,35 +194,35 @@
     sources = [path.relative_to(ROOT / "src") for path in (ROOT / "src").rglob("*.py")]
     compiled = {path.name.partition(".")[0] for path in (service / "passrock").rglob("*.pyc")}
     assert compiled == {path.stem for path in sources}
-    command = [sys.executable, "-S", "-c", SHOW_MODULES]
+    command = [sys.executable, "-S", "-c", PRINT_LOADED_MODULES]
     libraries = os.pathsep.join([str(service), *sys.path])
     run = subprocess.run(command, env={"PYTHONPATH": libraries}, capture_output=True, text=True, check=True)
     loaded = set(run.stdout.split())
     assert "passrock.controller.node" in loaded
-    assert not NOT_NEEDED & loaded
+    assert not UNNEEDED_MODULES & loaded
 
 
 class RecordingTable(dict):
-    """A table that notes the path of every key that is asked for; ``[]`` stands for each row of a list."""
+    """A table that records the path of every key that is read; ``[]`` in a path stands for each row of a list."""
 
-    def __init__(self, table, path, asked):
+    def __init__(self, table, path, read_paths):
         super().__init__(table)
         self.path = path
-        self.asked = asked
+        self.read_paths = read_paths
 
     def get(self, key, default=None):
         path = self.path + key
         value = super().get(key, default)
         if isinstance(value, dict):
-            return RecordingTable(value, f"{path}.", self.asked)
+            return RecordingTable(value, f"{path}.", self.read_paths)
         if isinstance(value, list) and value and all(isinstance(row, dict) for row in value):
-            return [RecordingTable(row, f"{path}[].", self.asked) for row in value]
-        self.asked.add(path)
+            return [RecordingTable(row, f"{path}[].", self.read_paths) for row in value]
+        self.read_paths.add(path)
         return value
 
 
 def documented(heading):
-    """The rows of the table below a heading of the page, by the setting's name."""
+    """Return the rows of the table below a heading of the page, by the name of the setting."""
     section = (ROOT / "docs" / "settings.md").read_text().split(f"## {heading}\n")[1].split("\n## ")[0]
     rows = [
         [cell.strip() for cell in line.split("|")[1:-1]] for line in section.splitlines() if line.startswith("| `")
@@ -237,55 +247,55 @@
     return faults
 
 
-def changed(path, value):
-    """The faults of a table in which the setting of this path on the page has this value; None takes it out."""
+def faults_with(path, value):
+    """Return the faults of a table in which the setting with this path has this value; None removes the setting."""
     table = copy.deepcopy(full_table())
-    *way, last = re.sub(r"\[\]", ".0", path).split(".")
-    part = table
-    for key in way:
-        part = part[int(key) if key.isdigit() else key]
+    *parents, last = re.sub(r"\[\]", ".0", path).split(".")
+    parent = table
+    for key in parents:
+        parent = parent[int(key) if key.isdigit() else key]
     if value is None:
-        part.pop(last, None)
+        parent.pop(last, None)
     else:
-        part[last] = value
+        parent[last] = value
     return faults_of(table)
 
 
-def test_the_page_names_every_setting_that_is_read():
-    asked = set()
+def test_page_lists_every_setting_that_is_read():
+    read_paths = set()
     faults = []
-    parse_settings(RecordingTable(full_table(), "", asked), OperatorSettings(), faults)
+    parse_settings(RecordingTable(full_table(), "", read_paths), OperatorSettings(), faults)
     assert faults == []
-    assert asked == set(PLATFORM)
+    assert read_paths == set(PLATFORM)
     assert set(OPERATOR) == set(RANGES) == set(OperatorSettings.__struct_fields__)
     assert set(ADMISSION) == set(AdmissionSettings.__struct_fields__)
 
 
 @pytest.mark.parametrize("path", PLATFORM)
-def test_the_page_has_the_ranges_and_defaults_of_the_platforms_file(path):
+def test_page_has_the_ranges_and_defaults_of_the_platform_file(path):
     unit, limits, default, effect, restart = PLATFORM[path]
     assert unit
     assert effect
     assert restart == "yes"
-    assert (changed(path, None) == []) == (default != "")
-    assert default in ("", "empty", "0")  # the only defaults that the reader knows: see the next test
+    assert (faults_with(path, None) == []) == (default != "")
+    assert default in ("", "empty", "0")  # the only defaults of the reader; see the next test
     first, *rest = limits.split()
     if unit == "IPv4:port":
         assert limits == "1 to 65535"
-        assert changed(path, "10.0.0.1:1") == changed(path, "10.0.0.1:65535") == []
-        assert changed(path, "10.0.0.1:0")
-        assert changed(path, "10.0.0.1:65536")
+        assert faults_with(path, "10.0.0.1:1") == faults_with(path, "10.0.0.1:65535") == []
+        assert faults_with(path, "10.0.0.1:0")
+        assert faults_with(path, "10.0.0.1:65536")
     elif first in ("not", "any"):
-        assert (changed(path, [] if unit == "names" else "") == []) == (first == "any")
-        assert changed(path, 5)
+        assert (faults_with(path, [] if unit == "names" else "") == []) == (first == "any")
+        assert faults_with(path, 5)
     else:
         bound = float(re.match(r"(?:least )?([0-9.]+)", " ".join(rest)).group(1))
-        assert any(path.rpartition(".")[2] in fault for fault in changed(path, bound - 0.001))
-        at_bound = [fault for fault in changed(path, bound) if "times report_s" not in fault]
+        assert any(path.rpartition(".")[2] in fault for fault in faults_with(path, bound - 0.001))
+        at_bound = [fault for fault in faults_with(path, bound) if "times report_s" not in fault]
         assert (at_bound == []) == (first == "at")
 
 
-def test_teams_and_objectives_have_the_defaults_of_the_page():
+def test_defaults_of_teams_and_objectives():
     table = full_table()
     table["deployment"]["teams"] = [{"name": "a"}]
     table["deployment"]["objectives"] = [{"kind": "wait"}]
@@ -294,11 +304,11 @@
     assert settings.objectives == (Objective("wait", "", 0.0, 0.0),)
 
 
-def test_the_page_has_the_warnings_of_small_resources():
+def test_page_has_the_warnings_about_small_resources():
     table = full_table()
-    for name, key, least in (("cpu", "cpu", MIN_CPU_CORES), ("mem_mb", "mem_mb", MIN_MEMORY_MB)):
-        assert PLATFORM[f"deployment.resources.{name}"][1].endswith(f"warning below {least:g}")
-        for value, warned in ((least, False), (least * 0.99, True)):
+    for name, key, minimum in (("cpu", "cpu", MIN_CPU_CORES), ("mem_mb", "mem_mb", MIN_MEMORY_MB)):
+        assert PLATFORM[f"deployment.resources.{name}"][1].endswith(f"warning below {minimum:g}")
+        for value, warned in ((minimum, False), (minimum * 0.99, True)):
             table["deployment"]["resources"] = {"cpu": 1.0, "mem_mb": 100.0, "fd_limit": 600, key: value}
             assert bool(resource_warnings(parse_settings(table, OperatorSettings(), []))) == warned
 
@@ -307,7 +317,7 @@
     ("rows", "ranges", "defaults"),
     [(OPERATOR, RANGES, OperatorSettings()), (ADMISSION, admission.RANGES, AdmissionSettings())],
 )
-def test_the_page_has_the_ranges_and_defaults_of_the_operators_files(rows, ranges, defaults):
+def test_page_has_the_ranges_and_defaults_of_the_operator_files(rows, ranges, defaults):
     for name, (unit, limits, default, effect, restart) in rows.items():
         assert unit
         assert effect
@@ -324,7 +334,7 @@
             assert getattr(defaults, name) == {}
 
 
-def test_the_operators_example_files_hold_all_settings_with_their_defaults():
+def test_example_operator_files_have_all_settings_with_their_defaults():
     text = (ROOT / "deploy" / "passrock.hcl").read_text()
     assert set(re.findall(r"^(\w+) *=", text, re.MULTILINE)) == set(RANGES)
     text = (ROOT / "deploy" / "admission.hcl").read_text()
@@ -332,7 +342,7 @@
     assert parse_admission({}, "", []) == AdmissionSettings()
 
 
-def test_the_example_file_of_the_readme_is_read_without_a_fault_and_has_every_setting(capsys):
+def test_example_platform_file_is_valid_and_has_every_setting(capsys):
     example = ROOT / "docs" / "node.example.toml"
     assert "(docs/node.example.toml)" in (ROOT / "README.md").read_text()
     assert main(["check-config", str(example)]) == 0
@@ -346,7 +356,7 @@
 
 
 def paths_of(table, prefix=""):
-    """The paths of all keys of nested tables, in the page's notation."""
+    """Return the paths of all keys of nested tables, in the notation of the page."""
     paths = set()
     for key, value in table.items():
         if isinstance(value, dict):
--- a/tests/test_wire_codecs.py
+++ b/tests/test_wire_codecs.py
@@ -1,4 +1,4 @@
-"""Codecs of users, workers, cloud and key-value store: what is parsed, what is refused, what is sent."""
+"""Codecs for users, workers, the cloud and the key-value store: bodies that are parsed, rejected and encoded."""
 
 import cbor2
 import pytest
@@ -10,12 +10,12 @@
 from passrock.wire.cbor import MalformedBodyError
 from standins.simulated_cluster import SimulatedCluster
 
-GOOD = SimulatedCluster.job(None, 412, dueS=900.0)  # the stand-in user's description of a job
+VALID_SUBMISSION = SimulatedCluster.job(None, 412, dueS=900.0)  # as the simulated users submit it
 
 
-def body(**changes):
-    """A good submission with some fields changed; ``...`` takes a field away."""
-    return cbor2.dumps({k: v for k, v in {**GOOD, **changes}.items() if v is not ...})
+def submission_body(**changes):
+    """Encode a valid submission with some fields changed; the value ``...`` removes a field."""
+    return cbor2.dumps({name: value for name, value in {**VALID_SUBMISSION, **changes}.items() if value is not ...})
 
 
 @pytest.mark.parametrize(
@@ -25,41 +25,41 @@
         b"\xff\xff",
         cbor2.dumps([1]),
         cbor2.dumps({1: 2}),
-        body(ref=...),
-        body(ref="job-1"),
-        body(ref="wk-"),
-        body(ref="wk-1/2"),
-        body(ref=5),
-        body(volumes=0),
-        body(volumes=100_001),
-        body(volumes=2.5),
-        body(volumes=True),
-        body(cores="8"),
-        body(cores=-1.0),
-        body(cores=float("nan")),
-        body(cards=float("inf")),
-        body(format="gang"),
-        body(format=["batch"]),
-        body(precedence="urgent"),
-        body(samePlace="yes"),
-        body(spread=None),
-        body(loaners=...),
-        body(bindings="box"),
-        body(bindings=[1]),
-        body(edition=""),
-        body(edition="x" * 500),
-        body(dueS="soon"),
-        body(loanS=...),
-        cbor2.dumps({**GOOD, 7: "not text"}),
+        submission_body(ref=...),
+        submission_body(ref="job-1"),
+        submission_body(ref="wk-"),
+        submission_body(ref="wk-1/2"),
+        submission_body(ref=5),
+        submission_body(volumes=0),
+        submission_body(volumes=100_001),
+        submission_body(volumes=2.5),
+        submission_body(volumes=True),
+        submission_body(cores="8"),
+        submission_body(cores=-1.0),
+        submission_body(cores=float("nan")),
+        submission_body(cards=float("inf")),
+        submission_body(format="gang"),
+        submission_body(format=["batch"]),
+        submission_body(precedence="urgent"),
+        submission_body(samePlace="yes"),
+        submission_body(spread=None),
+        submission_body(loaners=...),
+        submission_body(bindings="box"),
+        submission_body(bindings=[1]),
+        submission_body(edition=""),
+        submission_body(edition="x" * 500),
+        submission_body(dueS="soon"),
+        submission_body(loanS=...),
+        cbor2.dumps({**VALID_SUBMISSION, 7: "not text"}),
     ],
 )
-def test_malformed_submissions(raw):
+def test_malformed_submissions_are_rejected(raw):
     with pytest.raises(MalformedBodyError):
         users.parse_submission(raw)
 
 
 def test_submission_and_record_round_trip():
-    spec = users.parse_submission(body(unknownField=1, branch=..., bindings=["box"]))
+    spec = users.parse_submission(submission_body(unknownField=1, branch=..., bindings=["box"]))
     assert (spec.id, spec.zone, spec.machine_types, spec.deadline_s) == ("wk-000412", None, ("box",), 900.0)
     assert JobSpecRecord.from_spec(spec).to_spec() == spec
     job = JobTable(50).load(new_job_record(spec, 12.5), 7, 100.0, 20.0)
@@ -72,7 +72,7 @@
     )
 
 
-HEARTBEAT = {
+VALID_HEARTBEAT = {
     "stack": "host-1",
     "addr": "10.1.0.1:9000",
     "binding": "box",
@@ -87,7 +87,7 @@
 
 
 def test_heartbeat_is_parsed():
-    heartbeat = workers.parse_heartbeat(cbor2.dumps(HEARTBEAT))
+    heartbeat = workers.parse_heartbeat(cbor2.dumps(VALID_HEARTBEAT))
     assert (
         heartbeat.machine,
         heartbeat.incarnation,
@@ -131,12 +131,12 @@
         {8: "not text"},
     ],
 )
-def test_malformed_heartbeats(change):
+def test_malformed_heartbeats_are_rejected(change):
     with pytest.raises(MalformedBodyError):
-        workers.parse_heartbeat(cbor2.dumps({**HEARTBEAT, **change}))
+        workers.parse_heartbeat(cbor2.dumps({**VALID_HEARTBEAT, **change}))
 
 
-def test_answers_to_workers():
+def test_answers_to_workers_are_encoded():
     commands = [
         Command(CommandKind.START, "wk-1", 0, 3),
         Command(CommandKind.STOP, "wk-2", 1, 1, 10.0),
@@ -167,12 +167,12 @@
         (store.parse_conflicting_keys, {}),
     ],
 )
-def test_malformed_answers_are_refused(parse, raw):
+def test_malformed_answers_are_rejected(parse, raw):
     with pytest.raises(MalformedBodyError):
         parse(cbor2.dumps(raw))
 
 
-def test_state_transaction():
+def test_transaction_is_encoded():
     raw = store.encode_transaction({"a": 3}, [store.Put("a", {"x": 1}, 7), store.Put("b", 2), store.Delete("c")])
     assert cbor2.loads(raw) == {
         "if": [{"key": "a", "stamp": 3}],
