--- a/src/passrock/logs.py
+++ b/src/passrock/logs.py
@@ -12,7 +12,10 @@
 
 
 def start_logging(node: str) -> None:
-    """Write the log to standard error at the level in the variable LOG_LEVEL; unknown values count as ``info``."""
+    """Write the log to standard error at the level in the environment variable LOG_LEVEL.
+
+    If it is not set or has an unknown value, the level is ``info``.
+    """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(asctime)s %(levelname).1s {node} %(message)s"))
     log.handlers[:] = [handler]
--- a/src/passrock/settings/model.py
+++ b/src/passrock/settings/model.py
@@ -1,4 +1,4 @@
-"""Types of the settings. Most fields are named like the settings in the files; the operators' settings all are."""
+"""Types of the settings. Most fields, and all of ``OperatorSettings``, are named like the settings in the files."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """All settings of a controller; names ending in ``_s`` are in seconds, in ``_rps`` in requests per second."""
+    """All settings of a controller; names in ``_s`` are in seconds, names in ``_rps`` in requests per second."""
 
     node: str
     zone: str
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -79,7 +79,7 @@
 def _read_admission(
     previous: AdmissionSettings | None, value: object, where: str, faults: list[str]
 ) -> AdmissionSettings | None:
-    from passrock.admission.settings import parse_admission  # not loaded where it is disabled
+    from passrock.admission.settings import parse_admission  # not loaded if it is disabled
 
     blocks = value if isinstance(value, list) else [value]
     if previous is not None or len(blocks) != 1 or not isinstance(blocks[0], dict):
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -112,7 +112,7 @@
     if isinstance(value, msgspec.Struct):
         return [to_plain(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, Enum):
-        return STATES.get(value, value.value)
+        return FIXTURE_ENUM_NAMES.get(value, value.value)
     if isinstance(value, dict):
         return [[to_plain(key), to_plain(item)] for key, item in value.items()]
     if isinstance(value, list | tuple):
@@ -129,7 +129,7 @@
 
 # -- adapters, one for each type of record or message --------------------------------------------------------
 
-STATES = {
+FIXTURE_ENUM_NAMES = {
     TaskState.FETCHING: "fetching",
     TaskState.WAITING: "waiting",
     TaskState.RUNNING: "running",
@@ -143,7 +143,7 @@
     ExitReason.ATTEMPT_IN_USE: "busy",
     ExitReason.JOB_UNKNOWN: "unknown",
 }
-COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.ACKNOWLEDGE_EXIT}
+FIXTURE_COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.ACKNOWLEDGE_EXIT}
 
 
 def make_flows(pairs, make=lambda value: value):
@@ -240,7 +240,7 @@
 
 def make_command(values):
     kind, *fields = values.values()
-    return Command(COMMAND_KINDS[kind], *fields)
+    return Command(FIXTURE_COMMAND_KINDS[kind], *fields)
 
 
 def make_write(values):
