--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -39,7 +39,7 @@
         self.unmarked = 0
         self.accepted_at = {}
         self.first_asked, self.got_in, self.given_up = {}, {}, set()
-        self._change, cluster.state._change = cluster.state._change, self._note
+        self._change, cluster.store._change = cluster.store._change, self._note
 
     def _note(self, writes):
         for write in writes:
@@ -47,7 +47,7 @@
             if key.startswith(keys.ALLOCATION):
                 if self.pages.setdefault(key, write["v"]) != write["v"]:
                     self.broken.append(("two_allocations", key))
-            elif key.startswith(keys.JOB) and key not in self.cluster.state.data:
+            elif key.startswith(keys.JOB) and key not in self.cluster.store.data:
                 self._accepted(key[len(keys.JOB) :], write["v"])
         self._change(writes)
 
@@ -101,13 +101,13 @@
 def note_starts(cluster):
     """Times of all starts, by class."""
     starts = {}
-    started = cluster.checker.started
+    started = cluster.checker.on_task_started
 
     def note(worker, task):
         starts.setdefault(cluster.specs[task.job]["shelfmark"], []).append(cluster.now())
         started(worker, task)
 
-    cluster.checker.started = note
+    cluster.checker.on_task_started = note
     return starts
 
 
@@ -129,7 +129,7 @@
         """Look every two seconds."""
         while True:
             await asyncio.sleep(2.0)
-            begun = {job for (job, _), places in self.cluster.checker.present.items() if places}
+            begun = {job for (job, _), places in self.cluster.checker.placements.items() if places}
             begun |= {job for job, _ in self.cluster.completed}
             oldest = {}
             for job, at in self.checker.accepted_at.items():
@@ -152,13 +152,13 @@
         try:
             async with asyncio.timeout(5.0):
                 to = node or cluster.rng.choice(cluster.serving())
-                response = await cluster._ask(to, Request("POST", "/v2/runs", body))
+                response = await cluster._send(to, Request("POST", "/v2/runs", body))
         except (TimeoutError, ConnectionError):
             response = None
         if response is not None:
             if response.status in (200, 201):
                 checker.got_in.setdefault(job, cluster.now())
-                cluster.checker.answered(job, asked, response.status, cbor2.loads(response.body), submission=True)
+                cluster.checker.on_answer(job, asked, response.status, cbor2.loads(response.body), submission=True)
                 return True
             wait = max(wait, response.retry_after or 0.0)
         await asyncio.sleep(wait)
--- a/tests/standins/deployment.py
+++ b/tests/standins/deployment.py
@@ -8,7 +8,7 @@
     "cancel_s": 35.0,
     "gpus_max": 8.0,
 }
-BOX = {
+MACHINE_TYPE = {
     "sku": "box",
     "cores": 16.0,
     "cards": 2.0,
@@ -22,7 +22,7 @@
 TEAMS = 3
 
 
-def node_table(number, count, zones, teams=TEAMS, guarantee=4.0, limits=LIMITS):
+def platform_settings(number, count, zones, teams=TEAMS, guarantee=4.0, limits=LIMITS):
     """A controller's settings as the platform would write them."""
     return {
         "node": f"n{number}",
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -38,24 +38,24 @@
             self.nodes[name].kill()  # crashes may overlap: never two processes of one node
             self.nodes[name] = SimulatedController(self, int(name[1:]))
 
-    async def outage(self, for_s):
-        self.state.start_outage()
+    async def store_outage(self, for_s):
+        self.store.start_outage()
         await asyncio.sleep(for_s)
-        self.state.end_outage()
+        self.store.end_outage()
 
-    async def refuse(self, name, for_s):
+    async def refuse_store_access(self, name, for_s):
         """The state service refuses one controller."""
         sim = self.nodes[name]
-        sim.refused = True
+        sim.store_refused = True
         await asyncio.sleep(for_s)
-        sim.refused = False
+        sim.store_refused = False
 
     async def isolate(self, name, for_s):
         """A controller loses the state service and its peers, and keeps its workers and users."""
-        self.cuts.append(("peers", name, self.now() + for_s))
-        await self.refuse(name, for_s)
+        self.network_faults.append(("peers", name, self.now() + for_s))
+        await self.refuse_store_access(name, for_s)
 
-    async def elections(self, count):
+    async def force_elections(self, count):
         """Whoever leads ends and is back within a fraction of a second, again and again, also while electing."""
         for _ in range(count):
             alive = [name for name, sim in self.nodes.items() if sim.alive]
@@ -76,7 +76,7 @@
     def some_worker(self):
         return self.rng.choice(sorted(self.workers.values(), key=lambda w: w.name)) if self.workers else None
 
-    def one_fault(self):
+    def inject_fault(self):
         """Something goes wrong: a fault of a random kind, or nothing where it can't happen now."""
         kinds = FAULT_KINDS + ("freeze",) * (FREEZE_WEIGHT if self.freezes else 0)
         kind = self.rng.choice(kinds)
@@ -94,7 +94,7 @@
         return len(self._alive()) == len(self.nodes)
 
     def _cut(self, kind, name, shortest, longest):
-        self.cuts.append((kind, name, self.now() + self.rng.uniform(shortest, longest)))
+        self.network_faults.append((kind, name, self.now() + self.rng.uniform(shortest, longest)))
 
     # -- faults of controllers and services; each draws its random numbers in a fixed order, which seeds replay ------
 
@@ -107,12 +107,12 @@
             self.spawn(self.crash(list(self.nodes), self.rng.uniform(0.2, 5.0)))
 
     def _state_outage(self):
-        if not self.state.outage:
-            self.spawn(self.outage(self.rng.uniform(2.0, 20.0)))
+        if not self.store.outage:
+            self.spawn(self.store_outage(self.rng.uniform(2.0, 20.0)))
 
     def _refuse_one(self):
         if alive := self._alive():
-            self.spawn(self.refuse(self.rng.choice(alive), self.rng.uniform(3.0, 25.0)))
+            self.spawn(self.refuse_store_access(self.rng.choice(alive), self.rng.uniform(3.0, 25.0)))
 
     def _isolate_one(self):
         if alive := self._alive():
@@ -120,7 +120,7 @@
 
     def _some_elections(self):
         if self._all_alive():
-            self.spawn(self.elections(self.rng.randint(2, 6)))
+            self.spawn(self.force_elections(self.rng.randint(2, 6)))
 
     def _freeze_one(self):
         if alive := self._alive():
@@ -153,18 +153,18 @@
         self.cloud.delete(worker.name)
 
     def _give_notice(self, worker):
-        worker.notice_end = self.now() + self.rng.uniform(4.0, 12.0)
+        worker.reclaim_at = self.now() + self.rng.uniform(4.0, 12.0)
         worker.changed.set()
-        asyncio.get_running_loop().call_at(worker.notice_end, self.cloud.delete, worker.name)
+        asyncio.get_running_loop().call_at(worker.reclaim_at, self.cloud.delete, worker.name)
 
     def _make_sick(self, worker):
-        worker.sick = True
+        worker.tasks_fail = True
 
-    async def faults(self, until, gap):
+    async def inject_faults(self, until, gap):
         """Faults of all kinds until some time."""
         while self.now() < until:
             await asyncio.sleep(self.rng.expovariate(1.0 / gap))
-            self.one_fault()
+            self.inject_fault()
 
 
 CONTROLLER_FAULTS = {
--- a/tests/standins/loopback_cluster.py
+++ b/tests/standins/loopback_cluster.py
@@ -11,7 +11,7 @@
 from passrock.io.http_client import HttpClient
 from passrock.io.http_server import HttpServer, Request, Response
 from passrock.settings import Address
-from standins.deployment import node_table
+from standins.deployment import platform_settings
 from standins.simulated_cluster import SimulatedCluster
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -48,14 +48,14 @@
     async def serve(self, folder):
         """Put the services on sockets and write the controllers' settings."""
         ports = {}
-        for name, service in (("state", self.state), ("cloud", self.cloud)):
+        for name, service in (("state", self.store), ("cloud", self.cloud)):
             server = HttpServer(self._handler(service), connection_limit=100, idle_timeout_s=600, head_timeout_s=60)
             listening = await server.start("127.0.0.1", 0)
             ports[name] = listening.sockets[0].getsockname()[1]
         peers = {name: f"127.0.0.1:{free_port()}" for name in self.nodes}
         for number, name in enumerate(self.nodes):
             port = free_port()
-            table = node_table(number, self.node_count, self.zones)
+            table = platform_settings(number, self.node_count, self.zones)
             table["deployment"]["objectives"] = list(self.objectives)
             table["client_listen"] = f"127.0.0.1:{port}"
             table["peer_listen"] = peers[name]
@@ -91,25 +91,25 @@
         self.processes[name].kill()
         await self.processes[name].wait()
 
-    async def to_node(self, worker, name, body, timeout):
-        return await self._call(name, "POST", "/checkin", body, timeout)
+    async def send_heartbeat(self, worker, name, body, timeout):
+        return await self._send_and_decode(name, "POST", "/checkin", body, timeout)
 
-    async def ask(self, method, path, body=b"", timeout=2.0, node=None):
+    async def request(self, method, path, body=b"", timeout=2.0, node=None):
         try:
-            return await self._call(node or self.rng.choice(list(self.nodes)), method, path, body, timeout)
+            return await self._send_and_decode(node or self.rng.choice(list(self.nodes)), method, path, body, timeout)
         except ConnectionError:
             return 0, {}
 
-    async def _ask(self, name, request):
+    async def _send(self, name, request):
         try:
             status, body = await self.clients[name].request(request.method, request.path, request.body, 5.0)
         except NoAnswerError as error:
             raise ConnectionError(str(error)) from error
         return Response(status, body)
 
-    async def _call(self, name, method, path, body, timeout):
+    async def _send_and_decode(self, name, method, path, body, timeout):
         if name not in self.clients:
             raise ConnectionError("not yet")
         async with asyncio.timeout(timeout):
-            response = await self._ask(name, Request(method, path, body))
+            response = await self._send(name, Request(method, path, body))
         return response.status, cbor2.loads(response.body) if response.body else {}
--- a/tests/standins/simulated_cluster.py
+++ b/tests/standins/simulated_cluster.py
@@ -8,12 +8,12 @@
 from standins import virtual_time
 from standins.checker import Checker
 from standins.cloud_service import CloudService
-from standins.deployment import BOX, LIMITS, TEAMS
+from standins.deployment import LIMITS, MACHINE_TYPE, TEAMS
 from standins.faults import FaultInjection
 from standins.gangs import GangCoordination
 from standins.network import SimulatedNetwork
 from standins.simulated_controller import SimulatedController
-from standins.state_service import StateService
+from standins.state_service import KeyValueStoreService
 from standins.users import SimulatedUsers
 from standins.worker import Worker
 
@@ -27,12 +27,12 @@
         zones=("a", "b", "c"),
         node_count=3,
         machines=6,
-        late=0.0,
-        lost=0.0,
-        copies=0.0,
+        late_request_share=0.0,
+        lost_answer_share=0.0,
+        duplicate_share=0.0,
         teams=TEAMS,
         guarantee=4.0,
-        limit=LIMITS["gpus_max"],
+        quota=LIMITS["gpus_max"],
         capacity=(6, 3),
         limits=None,
         freezes=False,
@@ -44,23 +44,23 @@
         self.zones = zones
         self.node_count = node_count
         self.teams, self.guarantee = teams, guarantee
-        self.limits = {**LIMITS, "gpus_max": limit, **(limits or {})}
-        self.late_share, self.lost_share = late, lost
+        self.limits = {**LIMITS, "gpus_max": quota, **(limits or {})}
+        self.late_request_share, self.lost_answer_share = late_request_share, lost_answer_share
         self.specs, self.run_times, self.progress = {}, {}, {}
         self.completed = set()
-        self.impossible = set()  # submitted though they can't run or lack a field
+        self.invalid_jobs = set()  # submitted though they can't run or lack a field
         self.workers, self.zone_of = {}, {}
-        self.cuts = []  # (kind, name, until)
+        self.network_faults = []  # (kind, name, until)
         self.freezes = freezes  # whether controllers stand still now and then
-        self.copy_share = copies  # of heartbeats that arrive once more, much later
+        self.duplicate_share = duplicate_share  # of heartbeats that arrive once more, much later
         self.admission = {i: admission for i in range(node_count)}  # settings by node; None: switched off
         self.objectives, self.write_rps = objectives, write_rps
         self.clock_offset = {}  # of a node's time of day, in seconds
         self.disrupted_until = 0.0
-        self.state_delay = 0.0  # the state service answers so much more slowly
+        self.store_delay_s = 0.0  # the state service answers so much more slowly
         self.checker = Checker(self)
-        self.state = StateService()
-        types = {"box": dict(BOX, branches=list(zones))}
+        self.store = KeyValueStoreService()
+        types = {"box": dict(MACHINE_TYPE, branches=list(zones))}
         capacity_by_kind = {("box", zone, spot): capacity[spot] for zone in zones for spot in (True, False)}
         self.cloud = CloudService(types, capacity_by_kind, self.rng, 3.0, self._machine_up, self._machine_lost)
         self.tasks = set()
@@ -70,7 +70,7 @@
         for i in range(machines):
             self.cloud.add("box", zones[i % len(zones)], False, boot=0.1)
         self.start_nodes()
-        self.spawn(self.state.tick())
+        self.spawn(self.store.tick())
         self.spawn(self._check())
 
     def start_nodes(self):
@@ -133,10 +133,10 @@
             cancel = 15.0 if spec["format"] == "service" or self.rng.random() < 0.1 else None
             at = self.rng.uniform(0.0, duration / 2)
             asyncio.get_running_loop().call_later(
-                at, lambda s=spec, c=cancel: self.spawn(self.user(s, self.rng.uniform(2.0, 15.0), c))
+                at, lambda s=spec, c=cancel: self.spawn(self.simulate_user(s, self.rng.uniform(2.0, 15.0), c))
             )
         if gap < math.inf:
             self.disrupted_until = duration * 0.7 + 60.0  # the longest fault lasts a minute
-            self.spawn(self.faults(duration * 0.7, gap))
+            self.spawn(self.inject_faults(duration * 0.7, gap))
         await asyncio.sleep(duration)
         return self.checker
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -15,7 +15,7 @@
 from passrock.io.store import KeyValueStoreClient
 from passrock.settings import OperatorSettings, parse_settings
 from standins import virtual_time
-from standins.deployment import node_table
+from standins.deployment import platform_settings
 
 
 class ServiceLink:
@@ -36,21 +36,21 @@
         cluster, rng = self.cluster, self.cluster.rng
         if not self.node.alive:
             await asyncio.Event().wait()
-        await asyncio.sleep(rng.uniform(0.001, 0.006) + (cluster.state_delay if self.is_state else 0.0))
+        await asyncio.sleep(rng.uniform(0.001, 0.006) + (cluster.store_delay_s if self.is_state else 0.0))
         watch = path.startswith("/changes")
-        while self.is_state and watch and self.node.refused:
+        while self.is_state and watch and self.node.store_refused:
             await asyncio.sleep(0.2)
-        if self.is_state and self.node.refused:
+        if self.is_state and self.node.store_refused:
             return 503, b""
         changing = method != "GET"
         self.sent += changing
-        if changing and rng.random() < cluster.late_share:
+        if changing and rng.random() < cluster.late_request_share:
             asyncio.get_running_loop().call_later(rng.uniform(1.0, 20.0), self._late, self.sent, method, path, body)
             await asyncio.Event().wait()
         status, answer = await self.service.handle(method, path, body)
-        while self.is_state and watch and self.node.refused:  # a watch that was open waits as in an outage
+        while self.is_state and watch and self.node.store_refused:  # a watch that was open waits as in an outage
             await asyncio.sleep(0.2)
-        if changing and rng.random() < cluster.lost_share:
+        if changing and rng.random() < cluster.lost_answer_share:
             await asyncio.Event().wait()
         await asyncio.sleep(rng.uniform(0.001, 0.004))
         if not self.node.alive:
@@ -59,7 +59,7 @@
 
     def _late(self, number, method, path, body):
         if self.is_state and self.sent > number:
-            self.cluster.state.late_after_newer += 1
+            self.cluster.store.reordered_requests += 1
         self.cluster.spawn(self.service.handle(method, path, body))
 
 
@@ -97,12 +97,12 @@
 
     def __init__(self, cluster, number):
         self.cluster, self.number, self.name = cluster, number, f"n{number}"
-        self.alive, self.refused = True, False
+        self.alive, self.store_refused = True, False
         self.frozen_until = 0.0
         self.context = contextvars.copy_context()
         self.context.run(virtual_time.OWNER.set, self)
         faults = []
-        table = node_table(
+        table = platform_settings(
             number, cluster.node_count, cluster.zones, cluster.teams, cluster.guarantee, cluster.limits
         )
         table["deployment"]["objectives"] = list(cluster.objectives)
@@ -113,15 +113,15 @@
         self.zone = settings.zone
         rng = random.Random(cluster.rng.random())
         state = KeyValueStoreClient(
-            ServiceLink(cluster, self, cluster.state, True),
-            ServiceLink(cluster, self, cluster.state, True),
+            ServiceLink(cluster, self, cluster.store, True),
+            ServiceLink(cluster, self, cluster.store, True),
             TokenBucket(100.0, 100.0),
             TokenBucket(40.0, 40.0),
         )
         cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, state, cloud, links, rng)
-        self.work = self.context.run(asyncio.ensure_future, self.node.work())
+        self.main_task = self.context.run(asyncio.ensure_future, self.node.work())
 
     async def answer(self, request):
         """Handle a request as soon as the process doesn't stand still: until then it waits in a socket."""
@@ -133,6 +133,6 @@
     def kill(self):
         """The process ends without a signal; what it left running can't reach anything any more."""
         self.alive = False
-        self.work.cancel()
+        self.main_task.cancel()
         if self.node.leader_term is not None:
             self.node.leader_term.stop()
--- a/tests/standins/state_service.py
+++ b/tests/standins/state_service.py
@@ -7,7 +7,7 @@
 import cbor2
 
 
-class StateService:
+class KeyValueStoreService:
     def __init__(self):
         self.data = {}
         self.ledger = 0
@@ -18,8 +18,8 @@
         self.outage = False
         self.kept = 10_000
         self.commits = 0
-        self.late_after_newer = 0  # requests without an answer, carried out after newer ones of the same node
-        self.txn_ops, self.value_bytes, self.oversized = 12, 4096, 0
+        self.reordered_requests = 0  # requests without an answer, carried out after newer ones of the same node
+        self.txn_ops, self.value_bytes, self.oversized_commits = 12, 4096, 0
 
     def _now(self):
         return asyncio.get_running_loop().time()
@@ -114,7 +114,7 @@
         sizes = [len(json.dumps(op["v"])) for op in body["apply"] if "set" in op]
         too_many = len(body["apply"]) > self.txn_ops or len(body["if"]) > 4 * self.txn_ops
         if too_many or max(sizes, default=0) > self.value_bytes or sum(sizes) > 64 * 1024:
-            self.oversized += 1
+            self.oversized_commits += 1
             return 400, cbor2.dumps({"error": "too large"})
         failed = [c["key"] for c in body["if"] if self.data.get(c["key"], (None, 0, None))[1] != c["stamp"]]
         if any(op.get("loan") is not None and op["loan"] not in self.leases for op in body["apply"]):
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -50,16 +50,16 @@
             fields.update(volumes=rng.choice([1, 3]), spread=True, precedence="prod", loanS=0.0)
         return self.job(number, **fields)
 
-    async def user(self, spec, run_s=8.0, cancel_after=None):
+    async def simulate_user(self, spec, run_s=8.0, cancel_after=None):
         """Submit a job and ask for it until it is over."""
         job = spec["ref"]
         self.specs[job], self.run_times[job] = spec, run_s
         body = cbor2.dumps(spec)
         while True:
             at = self.now()
-            status, answer = await self.ask("POST", "/v2/runs", body, 5.0)
+            status, answer = await self.request("POST", "/v2/runs", body, 5.0)
             if status:
-                self.checker.answered(job, at, status, answer, submission=True)
+                self.checker.on_answer(job, at, status, answer, submission=True)
             if status in (200, 201):
                 break
             assert status not in (400, 422), (status, answer)
@@ -68,34 +68,34 @@
         while True:
             await asyncio.sleep(self.rng.uniform(1.0, 3.0))
             at = self.now()
-            self.checker.asked(job)
+            self.checker.on_query(job)
             if cancel_after is not None and at - began > cancel_after:
-                self.checker.cancel_asked.add(job)
-                status, answer = await self.ask("POST", f"/v2/runs/{job}/withdraw", b"", 2.0)
+                self.checker.cancel_requested.add(job)
+                status, answer = await self.request("POST", f"/v2/runs/{job}/withdraw", b"", 2.0)
             else:
-                status, answer = await self.ask("GET", f"/v2/runs/{job}", b"", 2.0)
+                status, answer = await self.request("GET", f"/v2/runs/{job}", b"", 2.0)
             if status:
-                self.checker.answered(job, at, status, answer)
+                self.checker.on_answer(job, at, status, answer)
             if status in (200, 201) and answer["status"] in ("done", "cancelled"):
                 break
         self.done_users += 1
         for _ in range(5):  # and now and then later
             await asyncio.sleep(self.rng.uniform(5.0, 15.0))
             at = self.now()
-            status, answer = await self.ask("GET", f"/v2/runs/{job}")
+            status, answer = await self.request("GET", f"/v2/runs/{job}")
             if status:
-                self.checker.answered(job, at, status, answer)
+                self.checker.on_answer(job, at, status, answer)
 
     async def cancel(self, job, node=None):
         """A user cancels, once; whether it was confirmed."""
-        self.checker.cancel_asked.add(job)
+        self.checker.cancel_requested.add(job)
         at = self.now()
-        status, answer = await self.ask("POST", f"/v2/runs/{job}/withdraw", node=node)
+        status, answer = await self.request("POST", f"/v2/runs/{job}/withdraw", node=node)
         if status:
-            self.checker.answered(job, at, status, answer)
+            self.checker.on_answer(job, at, status, answer)
         return status == 200 and answer["status"] == "cancelled"
 
     async def cancel_until_confirmed(self, job):
         """A user who repeats the request until it is answered."""
-        while not await self.cancel(job) and self.checker.confirmed.get(job, (0, ""))[1] != "done":
+        while not await self.cancel(job) and self.checker.confirmed_states.get(job, (0, ""))[1] != "done":
             await asyncio.sleep(1.0)
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -35,11 +35,11 @@
         self.limits = limits
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks = {}
-        self.sent_ok = self.now()
+        self.lease_renewed_at = self.now()
         self.alive = True
         self.hung_until = 0.0
-        self.sick = False
-        self.notice_end = None
+        self.tasks_fail = False
+        self.reclaim_at = None
         self.changed = asyncio.Event()
         self.jobs = [asyncio.ensure_future(self._reports()), asyncio.ensure_future(self._lease())]
 
@@ -64,10 +64,10 @@
             await asyncio.sleep(0.1)
             if self.now() < self.hung_until:
                 continue
-            if self.now() - self.sent_ok > self.limits["lease_s"]:
+            if self.now() - self.lease_renewed_at > self.limits["lease_s"]:
                 self._forget_all()
                 self.incarnation += 1
-                self.sent_ok = self.now()
+                self.lease_renewed_at = self.now()
                 self.changed.set()
 
     async def _reports(self):
@@ -80,7 +80,7 @@
             node = order[at]
             sent, incarnation = self.now(), self.incarnation
             try:
-                status, body = await self.cluster.to_node(self, node, self.report(), DROP_AFTER_S)
+                status, body = await self.cluster.send_heartbeat(self, node, self.encode_heartbeat(), DROP_AFTER_S)
             except (TimeoutError, ConnectionError):
                 status, body = 0, {}
             if self.now() < self.hung_until:
@@ -88,7 +88,7 @@
                 status = 0 if self.now() - sent > DROP_AFTER_S else status
             if status == 200:
                 if incarnation == self.incarnation and body["warrant"] >= self.token:
-                    self.sent_ok = sent
+                    self.lease_renewed_at = sent
                     self.token = body["warrant"]
                     for slip in body["slips"]:
                         self.execute(slip)
@@ -107,9 +107,9 @@
                 await asyncio.sleep(1.0)
             self.changed.clear()
 
-    def report(self):
+    def encode_heartbeat(self):
         self.sequence += 1
-        recall = None if self.notice_end is None else max(0.0, self.notice_end - self.now())
+        recall = None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.now())
         return cbor2.dumps(
             {
                 "stack": self.name,
@@ -180,7 +180,7 @@
 
     def _fetched(self, task):
         spec = self.cluster.specs[task.job]
-        self.cluster.checker.started(self, task)
+        self.cluster.checker.on_task_started(self, task)
         if spec["format"] == "group":
             self._set(task, "gathering")
             self._later(task, self.limits["gang_wait_s"], self._alone)
@@ -192,7 +192,7 @@
         """The task runs from now on."""
         self._set(task, "running")
         spec = self.cluster.specs[task.job]
-        if self.sick:
+        if self.tasks_fail:
             self._later(task, 0.5, lambda t: self._end(t, "error"))
         elif spec["format"] != "service":
             self._later(task, self.cluster.remaining(task), self._done)
@@ -235,7 +235,7 @@
         task.state, task.why, task.saved = "exited", why, saved
         for timer in task.timers:
             timer.cancel()
-        self.cluster.checker.ended(self, task)
+        self.cluster.checker.on_task_ended(self, task)
         self.changed.set()
         if was in ("running", "flushing") and why != "done" and self.cluster.specs[task.job]["format"] == "group":
             self.cluster.notify_gang_of_loss(task)
--- a/tests/test_admission_dispatch.py
+++ b/tests/test_admission_dispatch.py
@@ -45,7 +45,7 @@
     """Production work fills the machines without end; one gang needs all of them, beside many tiny jobs."""
     for_s = 3600.0
     cluster, waits, begin = virtual_time.run(rare_starts(for_s, node_count=1))
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     # of 0.2 that the machines could run: little is prioritized before it
     assert len(waits.starts["high"]) > 0.1 * for_s
     assert all(waits.longest[name] <= WINDOW_S for name in ("high", "low", "tiny", "large"))
@@ -71,7 +71,7 @@
         return cluster, waits
 
     cluster, waits = virtual_time.run(main())
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert len(waits.starts["low"]) > 5
     assert waits.longest["low"] <= WINDOW_S
 
@@ -85,7 +85,7 @@
 )
 def test_jobs_that_cannot_start_are_not_counted_as_starving(fields, obstacle):
     async def main():
-        cluster, checker, _ = await saturated_cluster(3, 200.0, limit=4.0 if obstacle == "team_limit" else 8.0)
+        cluster, checker, _ = await saturated_cluster(3, 200.0, quota=4.0 if obstacle == "team_limit" else 8.0)
         cluster.zones = ("a", "b")
         cluster.cloud.types["box"]["branches"] = ["a", "b"]
         if obstacle == "team_limit":
@@ -124,10 +124,10 @@
         await asyncio.sleep(60.0)
         before = len(starts["high"])
         await asyncio.sleep(30.0)
-        status, answer = await cluster.ask("GET", f"/v2/runs/{kept['ref']}")
+        status, answer = await cluster.request("GET", f"/v2/runs/{kept['ref']}")
         refused = cluster.job(LARGE + 1, shelfmark="kept", desk="t2")
         cluster.specs[refused["ref"]] = refused
-        fresh, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(refused))
+        fresh, _ = await cluster.request("POST", "/v2/runs", cbor2.dumps(refused))
         return len(starts["high"]) - before, (status, answer["status"], fresh), starts.get("kept")
 
     served, answers, kept = virtual_time.run(main())
@@ -148,11 +148,11 @@
         elif kind == "freeze":
             cluster.nodes[name].frozen_until = cluster.now() + spell
         elif kind == "refuse":
-            await cluster.refuse(name, spell)
+            await cluster.refuse_store_access(name, spell)
         elif kind == "peers":
-            cluster.cuts.append(("peers", name, cluster.now() + spell))
+            cluster.network_faults.append(("peers", name, cluster.now() + spell))
         else:
-            await cluster.outage(spell)
+            await cluster.store_outage(spell)
 
 
 @pytest.mark.parametrize("seed", range(20, 26))
@@ -163,7 +163,7 @@
         return cluster, checker, waits
 
     cluster, checker, waits = virtual_time.run(main())
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert checker.verify() == []
     assert len(waits.starts["low"]) > 3
     assert waits.longest["low"] <= WINDOW_S
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -41,7 +41,7 @@
 def test_a_flood_over_three_processes(tmp_path, capsys):
     cluster, checker = asyncio.run(flooded(tmp_path))
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert checker.unmarked == 0  # every job was admitted by a grant
     assert len({incarnation for _, incarnation in checker.admitted}) == 3  # at each controller
     asked = sum(job.startswith("wk-1") for job in checker.first_asked)
--- a/tests/test_admission_report.py
+++ b/tests/test_admission_report.py
@@ -11,14 +11,14 @@
 from passrock.admission.settings import AdmissionSettings
 from passrock.cli import main
 from passrock.settings import SettingsError, read_settings
-from standins.deployment import node_table
+from standins.deployment import platform_settings
 from standins.loopback_cluster import ROOT, toml
 
 
 @pytest.fixture
 def platform(tmp_path):
     path = tmp_path / "node.toml"
-    path.write_text(toml(node_table(0, 3, ("a", "b", "c"))))
+    path.write_text(toml(platform_settings(0, 3, ("a", "b", "c"))))
     return path
 
 
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -119,7 +119,7 @@
     cluster, checker, late_slots, begin = virtual_time.run(main())
     assert late_slots
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert max(checker.waits("wk-9", begin)) <= BOUND_S
     after = checker.allocation(slots_of(checker)[-1])
     assert after.slot > late_slots[0] + 2
@@ -163,23 +163,23 @@
         leader = leader_of(cluster).name
         follower = next(name for name in cluster.nodes if name != leader)
         if fault == "outage":
-            await cluster.outage(3 * SLOT_S)
+            await cluster.store_outage(3 * SLOT_S)
         elif fault == "slow":
-            cluster.state_delay = 0.4
+            cluster.store_delay_s = 0.4
             await asyncio.sleep(3 * SLOT_S)
-            cluster.state_delay = 0.0
+            cluster.store_delay_s = 0.0
         elif fault == "peers":
-            cluster.cuts.append(("peers", "all", cluster.now() + 4 * SLOT_S))
+            cluster.network_faults.append(("peers", "all", cluster.now() + 4 * SLOT_S))
             await asyncio.sleep(4 * SLOT_S)
         else:
-            await cluster.refuse(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
+            await cluster.refuse_store_access(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
         begin = cluster.now() + TAKEOVER_S
         await asyncio.sleep(60.0)
         return cluster, checker, begin
 
     cluster, checker, begin = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert max(checker.waits("wk-9", begin)) <= BOUND_S
 
 
@@ -219,7 +219,7 @@
             sim.node.admission.grants._remaining.clear()
             sim.node.admission.grants.incarnation = -1
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
-        polls = [(await cluster.ask("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
+        polls = [(await cluster.request("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
         fresh = cluster.job(INTERACTIVE + 1, shelfmark="look")
         asked = cluster.spawn(submit(cluster, checker, fresh))
         await asyncio.sleep(2.0)
@@ -280,7 +280,7 @@
 
     cluster, checker, leader = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert checker.given_up == set()
     assert max(checker.waits("wk-9")) <= BOUND_S + TAKEOVER_S
     assert checker.unmarked > 0
@@ -294,7 +294,7 @@
         spec = cluster.job(INTERACTIVE, shelfmark="look")
         await submit(cluster, checker, spec)
         node = cluster.nodes["n0"].node
-        records = [entry for entry, *_ in cluster.state.data.values()]
+        records = [entry for entry, *_ in cluster.store.data.values()]
         return checker, node.peers.heartbeat(), records
 
     checker, heartbeat, records = virtual_time.run(main())
@@ -307,7 +307,7 @@
 async def history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
     """A flood with random faults, clocks at the edges of their bound, and paused controllers."""
     cluster, checker = overloaded_cluster(
-        seed, admission, machines=2, capacity=(2, 1), freezes=True, late=0.02, lost=0.03
+        seed, admission, machines=2, capacity=(2, 1), freezes=True, late_request_share=0.02, lost_answer_share=0.03
     )
     for name, offset in zip(cluster.nodes, (0.005, -0.005, 0.0), strict=True):
         cluster.clock_offset[name] = offset
@@ -315,7 +315,7 @@
     await asyncio.sleep(8.0)
     submit_overload(cluster, checker, rate=12.0, for_s=for_s)
     cluster.disrupted_until = 8.0 + for_s + 60.0
-    cluster.spawn(cluster.faults(8.0 + for_s, gap))
+    cluster.spawn(cluster.inject_faults(8.0 + for_s, gap))
     await asyncio.sleep(for_s)
     return cluster, checker
 
@@ -326,7 +326,7 @@
     for seed in range(first, first + 10):
         cluster, checker = virtual_time.run(history(seed))
         assert checker.verify() == [], seed
-        assert cluster.checker.broken == [], seed
+        assert cluster.checker.violations == [], seed
         assert len(checker.accepted_at) > 0, seed
 
 
@@ -459,12 +459,12 @@
         await asyncio.sleep(4 * SLOT_S)
         await cluster.crash([leader_of(cluster).name], 2.0)
         await asyncio.sleep(6 * SLOT_S)
-        kept = {keys.allocation_slot(key)[0] for key in cluster.state.data if key.startswith(keys.ALLOCATION)}
+        kept = {keys.allocation_slot(key)[0] for key in cluster.store.data if key.startswith(keys.ALLOCATION)}
         return checker, kept, cluster
 
     checker, kept, cluster = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.state.oversized == 0
+    assert cluster.store.oversized_commits == 0
     assert any(keys.allocation_slot(key)[1] > 0 for key in checker.pages)  # there were several pages
     assert len(kept) <= 3
     assert min(kept) >= max(slots_of(checker)) - 2
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -5,7 +5,7 @@
 import pytest
 
 from standins import virtual_time
-from standins.scenarios import others, settled_cluster
+from standins.scenarios import cluster_with_running_jobs, followers
 
 # (fault of the confirming controller, or of all, during the outage; whether the tasks of jobs that nobody cancelled
 # must survive)
@@ -24,17 +24,17 @@
 
 async def outage_after_refusal(seed, fault, pause=0.3):
     """The key-value store refuses the leader alone, another node confirms, then there is an outage for all."""
-    cluster, leader = await settled_cluster(seed)
-    confirming, third = others(cluster, leader)
+    cluster, leader = await cluster_with_running_jobs(seed)
+    confirming, third = followers(cluster, leader)
     if fault == "workers reach the leader only":
-        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (confirming, third)]
+        cluster.network_faults += [("workers", name, cluster.now() + 1e6) for name in (confirming, third)]
         await asyncio.sleep(15.0)
-    ((machine, _),) = cluster.checker.present[("wk-000000", 0)]
+    ((machine, _),) = cluster.checker.placements[("wk-000000", 0)]
     cancel_s = cluster.limits["cancel_s"]
-    cluster.spawn(cluster.refuse(leader, 14.0))
+    cluster.spawn(cluster.refuse_store_access(leader, 14.0))
     await asyncio.sleep(1.5)
     if not pause:
-        cluster.spawn(cluster.refuse(third, 1.0))  # no other node can know of the cancellation
+        cluster.spawn(cluster.refuse_store_access(third, 1.0))  # no other node can know of the cancellation
         await asyncio.sleep(0.5)
     confirmed = await cluster.cancel("wk-000000", confirming)
     known = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
@@ -45,11 +45,11 @@
     elif fault == "confirming node pauses":
         cluster.nodes[confirming].frozen_until = cluster.now() + cancel_s * 1.5
     elif fault == "confirming node loses its peers":
-        cluster.cuts.append(("peers", confirming, cluster.now() + cancel_s * 1.5))
+        cluster.network_faults.append(("peers", confirming, cluster.now() + cancel_s * 1.5))
     elif fault == "machine hangs":
         cluster.workers[machine].hung_until = cluster.now() + cancel_s * 3
     await asyncio.sleep(pause)
-    cluster.spawn(cluster.outage(cancel_s * 1.4))
+    cluster.spawn(cluster.store_outage(cancel_s * 1.4))
     if fault == "all restart":
         await asyncio.sleep(10 * pause)
         await cluster.crash(list(cluster.nodes), 1.0)
@@ -58,11 +58,11 @@
         await cluster.crash([leader], 1.0)
     bystanders = {
         job
-        for (job, _), places in cluster.checker.present.items()
+        for (job, _), places in cluster.checker.placements.items()
         if job != "wk-000000" and (fault != "machine hangs" or machine not in dict(places))
     }
     await asyncio.sleep(cancel_s)
-    survivors = bystanders <= {job for (job, _), places in cluster.checker.present.items() if places}
+    survivors = bystanders <= {job for (job, _), places in cluster.checker.placements.items() if places}
     led = cluster.nodes[leader].node.leadership.leading
     starts = cluster.checker.starts
     await asyncio.sleep(cancel_s)
@@ -79,8 +79,8 @@
     cluster, confirmed, known, survivors, led, starts = virtual_time.run(outage_after_refusal(seed, fault, pause))
     assert confirmed  # by another controller
     assert not known  # the leader's replica did not have it
-    assert cluster.checker.broken == []
-    assert not cluster.checker.present[("wk-000000", 0)]
+    assert cluster.checker.violations == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
     if tasks_survive:
         assert led
         assert survivors
@@ -91,20 +91,20 @@
     """Refused from its own commit on, the leader's replica never gets it: its log of cancellations must have it."""
 
     async def main():
-        cluster, leader = await settled_cluster(202)
-        sim, handle = cluster.nodes[leader], cluster.state.handle
+        cluster, leader = await cluster_with_running_jobs(202)
+        sim, handle = cluster.nodes[leader], cluster.store.handle
 
         async def refused_from_here_on(method, path, body):
             if path == "/commit" and b"p/c/wk-000000" in body:
-                sim.refused = True
+                sim.store_refused = True
             return await handle(method, path, body)
 
-        cluster.state.handle = refused_from_here_on
+        cluster.store.handle = refused_from_here_on
         confirmed = await cluster.cancel("wk-000000", leader)
-        cluster.state.handle = handle
+        cluster.store.handle = handle
         known = sim.node.replica.get("p/c/wk-000000") is not None
-        await cluster.outage(cluster.limits["cancel_s"] * 1.4)
-        sim.refused = False
+        await cluster.store_outage(cluster.limits["cancel_s"] * 1.4)
+        sim.store_refused = False
         led = sim.node.leadership.leading
         await asyncio.sleep(20.0)
         return cluster, confirmed, known, led
@@ -113,6 +113,6 @@
     assert confirmed
     assert not known
     assert led
-    assert cluster.checker.broken == []
-    assert not cluster.checker.present[("wk-000000", 0)]
+    assert cluster.checker.violations == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
     assert cluster.checker.starts == 4
--- a/tests/test_checker_detects_violations.py
+++ b/tests/test_checker_detects_violations.py
@@ -65,17 +65,17 @@
     """Announcing cancellations to peers is not enough if the announcing node is lost: the bound is needed too."""
     believes_that_it_knows(monkeypatch)
     cluster = virtual_time.run(outage_after_refusal(201, fault, 0.0))[0]
-    assert "ran_cancelled" in {broken_rule for _, broken_rule, _ in cluster.checker.broken}
+    assert "cancelled_job_ran" in {broken_rule for _, broken_rule, _ in cluster.checker.violations}
 
 
 @pytest.mark.parametrize(
     ("unsafe", "scenario", "rule"),
     [
-        (applies_no_peer_cancellations, slow_state_then_refused_then_out, "ran_cancelled"),
-        (waits_out_a_correlated_outage_with_cancelled_tasks, most_machines_hang, "ran_cancelled"),
-        (accepts_every_submission, odd_requests, "accepted_impossible"),
-        (stops_scheduling, zone_bound_jobs_lose_machines, "left_waiting"),
-        (leaves_a_query_unanswered, failover_and_back, "forgotten"),
+        (applies_no_peer_cancellations, slow_state_then_refused_then_out, "cancelled_job_ran"),
+        (waits_out_a_correlated_outage_with_cancelled_tasks, most_machines_hang, "cancelled_job_ran"),
+        (accepts_every_submission, odd_requests, "invalid_job_accepted"),
+        (stops_scheduling, zone_bound_jobs_lose_machines, "schedulable_job_waited"),
+        (leaves_a_query_unanswered, failover_and_back, "job_lost_or_unanswered"),
     ],
     ids=lambda value: getattr(value, "__name__", value),
 )
@@ -83,4 +83,4 @@
     """Each check that the scenarios rest on fails on a controller that breaks it."""
     unsafe(monkeypatch)
     cluster, _ = virtual_time.run(run_scenario(scenario, 300, ("a", "b", "c")))
-    assert rule in {broken_rule for _, broken_rule, _ in cluster.checker.broken}
+    assert rule in {broken_rule for _, broken_rule, _ in cluster.checker.violations}
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,16 +15,16 @@
 
 async def lose_workers(seed, cut_share, machines=12):
     """The leader's links to some of its workers hang; when each step of the failover was reached."""
-    cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, limit=24.0)
+    cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, quota=24.0)
     for number in range(6):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, volumes=2)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
     await asyncio.sleep(25.0)
     old = await cluster.wait_for_leader()
     workers = sorted(cluster.workers.values(), key=lambda worker: worker.name)
     lost = workers[: round(len(workers) * cut_share)]
     began = cluster.now()
-    cluster.cuts += [("link", (worker.name, old), began + 40.0) for worker in lost]
+    cluster.network_faults += [("worker_link", (worker.name, old), began + 40.0) for worker in lost]
     incarnations = {worker.name: worker.incarnation for worker in workers}
     steps = {}
     terms = []
@@ -38,7 +38,7 @@
                 steps.setdefault("leading", cluster.now() - began)
                 if node.leader_term.ready:
                     steps.setdefault("loaded", cluster.now() - began)
-        if all(worker.sent_ok > began for worker in workers):
+        if all(worker.lease_renewed_at > began for worker in workers):
             steps.setdefault("renewed", cluster.now() - began)
         terms = [sim.node.leadership.known_term for sim in cluster.nodes.values()]
     ended = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
@@ -57,7 +57,7 @@
     assert steps["leading"] <= LEADING * lease
     assert steps["loaded"] <= LOADED * lease
     assert steps["renewed"] <= RENEWED * lease
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("seed", range(310, 313))
@@ -67,4 +67,4 @@
     assert now == [old]
     assert term == 1
     assert steps.get("leading") is None
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -79,7 +79,7 @@
 from passrock.settings import OperatorSettings, parse_settings
 from passrock.wire import cloud, store, users, workers
 from standins import virtual_time
-from standins.deployment import node_table
+from standins.deployment import platform_settings
 
 GOLDEN = Path(__file__).parent / "golden"
 TIME_OF_DAY = 1_700_000_123.25
@@ -451,7 +451,7 @@
 
 
 def make_settings(admission=None):
-    table = node_table(1, 3, ("za", "zb", "zc"), guarantee=8.0)
+    table = platform_settings(1, 3, ("za", "zb", "zc"), guarantee=8.0)
     table["deployment"]["state"]["value_kb"] = VALUE_BYTES / 1024
     table["deployment"]["cloud"]["list_lag_s"] = 0.0
     table["deployment"]["teams"][0]["gpus_max"] = 1000.0
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -37,10 +37,10 @@
 
 async def quiet_cluster():
     """Replicas run on twenty machines, and nothing else happens."""
-    cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, limit=16.0, capacity=(MACHINES, 0))
+    cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, quota=16.0, capacity=(MACHINES, 0))
     for number in range(6):
         spec = cluster.job(number, format="service", volumes=5, precedence="prod", loanS=0.0)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
     await asyncio.sleep(SETTLED_S)
     return cluster
 
@@ -50,13 +50,13 @@
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     scheduler = leader.leader_term.scheduler
     guaranteed, requests = scheduler.queue.guaranteed, []
-    handle = cluster.state.handle
+    handle = cluster.store.handle
 
     async def counted(method, path, body):
         requests.append((method, path))
         return await handle(method, path, body)
 
-    cluster.state.handle = counted
+    cluster.store.handle = counted
     evaluations = leader.leader_term.evaluations.finished_count
     await asyncio.sleep(QUIET_S)
     assert leader.leader_term.evaluations.finished_count > evaluations
@@ -75,7 +75,7 @@
     cluster = await quiet_cluster()
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     worker = next(one for one in cluster.workers.values() if len(one.tasks) == 2)
-    body = worker.report()
+    body = worker.encode_heartbeat()
     answer, calls = calls_of(leader.handle, Request("POST", "/checkin", body))
     assert isinstance(answer, Response)
     assert answer.status == 200  # answered at once: nothing had changed
--- a/tests/test_large_jobs_scale_out.py
+++ b/tests/test_large_jobs_scale_out.py
@@ -17,15 +17,15 @@
     Returns the cluster and the seconds until all tasks of the job run at the same time, or None if they don't.
     """
     cluster = SimulatedCluster(
-        7, zones=("a",), machines=2, teams=3, guarantee=0.0, limit=1000.0, capacity=(machines, 0)
+        7, zones=("a",), machines=2, teams=3, guarantee=0.0, quota=1000.0, capacity=(machines, 0)
     )
     await cluster.wait_for_leader()
     spec = cluster.job(1, cores=14.0, cards=2.0, ramGb=50.0, loanS=300.0, volumes=machines, **fields)
     submitted_at = cluster.now()
-    cluster.spawn(cluster.user(spec, run_s=300.0))
+    cluster.spawn(cluster.simulate_user(spec, run_s=300.0))
     while cluster.now() < submitted_at + 4 * MAX_START_S:
         await asyncio.sleep(1.0)
-        status, answer = await cluster.ask("GET", f"/v2/runs/{spec['ref']}")
+        status, answer = await cluster.request("GET", f"/v2/runs/{spec['ref']}")
         if status == 200 and answer["running"] == machines:
             return cluster, cluster.now() - submitted_at
     return cluster, None
@@ -43,6 +43,6 @@
 )
 def test_the_largest_job_gets_every_machine(fields):
     cluster, time_to_start_s = virtual_time.run(run_largest_job(fields, 200))
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert time_to_start_s is not None
     assert time_to_start_s < MAX_START_S
--- a/tests/test_loopback_restart.py
+++ b/tests/test_loopback_restart.py
@@ -15,8 +15,8 @@
         async with asyncio.timeout(TIMEOUT_S):
             first = cluster.job(1, volumes=2)
             gang = cluster.job(2, format="group", volumes=2)
-            cluster.spawn(cluster.user(gang, run_s=0.5))
-            cluster.spawn(cluster.user(first, run_s=0.5))
+            cluster.spawn(cluster.simulate_user(gang, run_s=0.5))
+            cluster.spawn(cluster.simulate_user(first, run_s=0.5))
             while cluster.done_users < 2:
                 await asyncio.sleep(0.1)
             await cluster.kill()
@@ -26,14 +26,14 @@
             while status != 200:
                 await asyncio.sleep(0.1)
                 asked = cluster.now()
-                status, answer = await cluster.ask("GET", f"/v2/runs/{first['ref']}")
+                status, answer = await cluster.request("GET", f"/v2/runs/{first['ref']}")
                 assert status != 404
-            cluster.checker.answered(first["ref"], asked, status, answer)
+            cluster.checker.on_answer(first["ref"], asked, status, answer)
             assert answer["status"] == "done"
-            cluster.spawn(cluster.user(cluster.job(3), run_s=0.5))
+            cluster.spawn(cluster.simulate_user(cluster.job(3), run_s=0.5))
             while cluster.done_users < 3:
                 await asyncio.sleep(0.1)
-            unknown, _ = await cluster.ask("GET", "/v2/runs/wk-999999")
+            unknown, _ = await cluster.request("GET", "/v2/runs/wk-999999")
             assert unknown == 404
     finally:
         await cluster.kill()
@@ -42,5 +42,5 @@
 
 def test_finished_jobs_survive_a_kill_and_restart_of_the_process(tmp_path):
     checker = asyncio.run(run_jobs_across_a_restart(tmp_path))
-    assert checker.broken == []
+    assert checker.violations == []
     assert checker.starts == 5
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -27,7 +27,7 @@
     cluster = SimulatedCluster(seed, machines=machines)
     for number in range(jobs):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, **fields)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
     await asyncio.sleep(20.0)
     return cluster, leaders(cluster)[0]
 
@@ -37,7 +37,7 @@
         cluster, old = await settled_cluster(60)
         sim = cluster.nodes[old]
         leader_revision = sim.node.leadership.leader_revision
-        cluster.spawn(cluster.refuse(old, 30.0))
+        cluster.spawn(cluster.refuse_store_access(old, 30.0))
         most, changed_at = 0, None
         for step in range(600):
             await asyncio.sleep(0.05)
@@ -54,7 +54,7 @@
     assert changed_at < cluster.limits["lease_s"] / 2
     assert isinstance(late, TransactionConflict)
     assert late.conflicting_keys == ("p/lead",)
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_restarted_leader_takes_over_its_own_key_at_once():
@@ -68,36 +68,36 @@
     cluster, old, now, new_term, term = virtual_time.run(main())
     assert now == [old]
     assert new_term == term + 1
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_cancellation_reaches_tasks_though_the_leader_is_refused():
     async def main():
         cluster, old = await settled_cluster(62)
-        cluster.spawn(cluster.refuse(old, 30.0))
+        cluster.spawn(cluster.refuse_store_access(old, 30.0))
         other = next(name for name in cluster.nodes if name != old)
-        cluster.checker.cancel_asked.add("wk-000000")
+        cluster.checker.cancel_requested.add("wk-000000")
         asked = cluster.now()
-        status, answer = await cluster.ask("POST", "/v2/runs/wk-000000/withdraw", node=other)
-        cluster.checker.answered("wk-000000", asked, status, answer)
+        status, answer = await cluster.request("POST", "/v2/runs/wk-000000/withdraw", node=other)
+        cluster.checker.on_answer("wk-000000", asked, status, answer)
         await asyncio.sleep(cluster.limits["cancel_s"])
         return cluster, status, answer["status"]
 
     cluster, status, answered_status = virtual_time.run(main())
     assert (status, answered_status) == (200, "cancelled")
-    assert not cluster.checker.present[("wk-000000", 0)]
-    assert cluster.checker.broken == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
+    assert cluster.checker.violations == []
 
 
 def test_done_and_cancelled_exclude_each_other():
     async def main():
         cluster = SimulatedCluster(63)
-        cluster.spawn(cluster.user(cluster.job(1), run_s=1.0))
+        cluster.spawn(cluster.simulate_user(cluster.job(1), run_s=1.0))
         while cluster.done_users < 1:
             await asyncio.sleep(0.1)
-        status, answer = await cluster.ask("POST", "/v2/runs/wk-000001/withdraw")
-        again = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.job(1)), 5.0)
-        return status, answer["status"], again[0], again[1]["status"], sorted(cluster.state.data)
+        status, answer = await cluster.request("POST", "/v2/runs/wk-000001/withdraw")
+        again = await cluster.request("POST", "/v2/runs", cbor2.dumps(cluster.job(1)), 5.0)
+        return status, answer["status"], again[0], again[1]["status"], sorted(cluster.store.data)
 
     status, answered_status, again, state, left = virtual_time.run(main())
     assert (status, answered_status, again, state) == (200, "done", 200, "done")
@@ -109,12 +109,12 @@
     async def main():
         cluster, old = await settled_cluster(64)
         behind = next(name for name in cluster.nodes if name != old)
-        cluster.spawn(cluster.refuse(behind, 20.0))
+        cluster.spawn(cluster.refuse_store_access(behind, 20.0))
         await asyncio.sleep(0.5)
-        status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.job(9)), 5.0, node=old)
-        stale = await cluster.ask("GET", "/v2/runs/wk-000009", node=behind)
-        fresh = await cluster.ask("GET", "/v2/runs/wk-000009", node=old)
-        unknown = await cluster.ask("GET", "/v2/runs/wk-777777", node=old)
+        status, _ = await cluster.request("POST", "/v2/runs", cbor2.dumps(cluster.job(9)), 5.0, node=old)
+        stale = await cluster.request("GET", "/v2/runs/wk-000009", node=behind)
+        fresh = await cluster.request("GET", "/v2/runs/wk-000009", node=old)
+        unknown = await cluster.request("GET", "/v2/runs/wk-777777", node=old)
         return status, stale[0], fresh[0], unknown[0]
 
     assert virtual_time.run(main()) == (201, 503, 200, 404)
@@ -125,11 +125,11 @@
 
     async def main():
         cluster, _ = await settled_cluster(65, jobs=3)
-        unreachable = next(iter(dict(cluster.checker.present[("wk-000000", 0)])))
-        cluster.cuts.append(("unreachable_inbound", unreachable, cluster.now() + 300.0))
+        unreachable = next(iter(dict(cluster.checker.placements[("wk-000000", 0)])))
+        cluster.network_faults.append(("unreachable_inbound", unreachable, cluster.now() + 300.0))
         cluster.cloud.outage = True  # no deletion helps at first: the unanswered lease has to end
         await asyncio.sleep(2.5 * cluster.limits["lease_s"])
-        moved = dict(cluster.checker.present[("wk-000000", 0)])
+        moved = dict(cluster.checker.placements[("wk-000000", 0)])
         cluster.cloud.outage = False
         await asyncio.sleep(30.0)
         return cluster, unreachable, moved
@@ -138,7 +138,7 @@
     assert moved
     assert unreachable not in moved
     assert unreachable not in cluster.workers
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_new_machine_gets_nothing_before_it_shows_the_token():
@@ -147,12 +147,12 @@
     async def main():
         cluster, leader = await settled_cluster(66)
         held = cluster.workers.copy()
-        ghost = cbor2.loads(next(iter(held.values())).report()) | {"stack": "host-999999", "volumes": []}
+        ghost = cbor2.loads(next(iter(held.values())).encode_heartbeat()) | {"stack": "host-999999", "volumes": []}
         node = cluster.nodes[leader].node
         answer = node.handle(Request("POST", "/checkin", cbor2.dumps(ghost | {"warrant": 0})))
         for number in range(20, 26):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
-            cluster.spawn(cluster.user(spec, cancel_after=1e9))
+            cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
         await asyncio.sleep(8.0)
         placed = node.leader_term.job_table.attempts_by_machine.get("host-999999")
         await asyncio.sleep(30.0)
@@ -161,7 +161,7 @@
 
     cluster, first, placed, later, known = virtual_time.run(main())
     assert (first, placed, later, known) == (200, None, 503, False)
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_an_isolated_leader_steps_down_and_redirects_nobody_to_itself():
@@ -174,7 +174,9 @@
         redirects, health = set(), set()
         for _ in range(300):
             await asyncio.sleep(0.1)
-            body = cbor2.dumps({**cbor2.loads(next(iter(cluster.workers.values())).report()), "stack": "host-888888"})
+            body = cbor2.dumps(
+                {**cbor2.loads(next(iter(cluster.workers.values())).encode_heartbeat()), "stack": "host-888888"}
+            )
             answer = node.handle(Request("POST", "/checkin", body))
             if answer.status == 200:
                 last_200 = cluster.now()
@@ -190,7 +192,7 @@
     assert now
     assert now != [old]
     assert cluster.checker.starts == starts  # its workers found the new leader in time
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_leader_that_its_workers_no_longer_reach_resigns():
@@ -200,7 +202,7 @@
         cluster, old = await settled_cluster(69, jobs=12, machines=24, cards=2.0)
         starts = cluster.checker.starts
         before = set(cluster.workers)
-        cluster.cuts.append(("workers", old, cluster.now() + 60.0))
+        cluster.network_faults.append(("workers", old, cluster.now() + 60.0))
         await asyncio.sleep(9.0)
         now = leaders(cluster)
         await asyncio.sleep(8.0)
@@ -215,14 +217,14 @@
     assert now != [old]
     assert later == now
     assert cluster.checker.starts <= starts + 6  # a few workers had been sent back to the old leader
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_restarts_within_a_fraction_of_a_second_also_during_campaigns():
     async def main():
         cluster, _ = await settled_cluster(68, jobs=4)
         starts = cluster.checker.starts
-        await cluster.elections(25)
+        await cluster.force_elections(25)
         await asyncio.sleep(5.0)
         return cluster, starts, leaders(cluster)
 
@@ -230,7 +232,7 @@
     # one worker may try crashed controllers for the length of its lease while nineteen terms pass in twelve seconds
     assert len(now) == 1
     assert cluster.checker.starts <= starts + 2
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_replicas_preempt_unlaunched_attempts_at_once():
@@ -240,25 +242,25 @@
         cluster = SimulatedCluster(72, machines=2, zones=("a",), capacity=(0, 0))
         await asyncio.sleep(5.0)
         gang = cluster.job(1, format="group", volumes=2, cards=2.0, cores=14.0, ramGb=50.0, precedence="high")
-        cluster.spawn(cluster.user(gang, run_s=60.0))
+        cluster.spawn(cluster.simulate_user(gang, run_s=60.0))
         await asyncio.sleep(0.25)
         service = cluster.job(2, format="service", volumes=2, precedence="prod", loanS=0.0, imageGb=0.1)
-        cluster.spawn(cluster.user(service, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(service, cancel_after=1e9))
         began = cluster.now()
-        while ("wk-000002", 1) not in cluster.checker.present and cluster.now() < began + 30.0:
+        while ("wk-000002", 1) not in cluster.checker.placements and cluster.now() < began + 30.0:
             await asyncio.sleep(0.1)
         return cluster, cluster.now() - began
 
     cluster, took = virtual_time.run(main())
-    assert ("wk-000001", 0) not in cluster.checker.present
-    assert cluster.checker.broken == []
+    assert ("wk-000001", 0) not in cluster.checker.placements
+    assert cluster.checker.violations == []
     assert took < 4.0  # a heartbeat, the image, and no stop before it
 
 
 async def pause_the_leader(seed, for_s):
     """A leader process is paused while heartbeats and users' queries wait in its sockets."""
     cluster, old = await settled_cluster(seed, jobs=6, machines=12, cards=2.0)
-    before = {name for places in cluster.checker.present.values() for name, _ in places}
+    before = {name for places in cluster.checker.placements.values() for name, _ in places}
     starts = cluster.checker.starts
     cluster.nodes[old].frozen_until = cluster.now() + for_s
     query = cluster.spawn(cluster.nodes[old].answer(Request("GET", "/v2/runs/wk-000001", b"")))
@@ -274,7 +276,7 @@
     """Its clocks ran on: by them every machine had missed heartbeats and every lease had expired when it resumed."""
     cluster, new, later, lost, started, answer, old = virtual_time.run(pause_the_leader(75, for_s))
     assert len(later) == 1
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert for_s < 5.0 or (len(new) == 1 and new != [old])
     assert (lost, started) == (0, 0)
     assert answer.status in (200, 429, 503)
@@ -294,26 +296,26 @@
     """Given up as their leases expired, cut machines were deleted just before they came back, warm, and replaced."""
 
     async def main():
-        cluster = SimulatedCluster(76, machines=24, zones=("a",), limit=60.0, capacity=(24, 0))
+        cluster = SimulatedCluster(76, machines=24, zones=("a",), quota=60.0, capacity=(24, 0))
         for number in range(24):
             spec = cluster.job(number, volumes=2, cores=7.0, ramGb=30.0)
-            cluster.spawn(cluster.user(spec, run_s=60.0))
+            cluster.spawn(cluster.simulate_user(spec, run_s=60.0))
         replicas = cluster.job(30, format="service", volumes=4, precedence="prod", loanS=0.0)
-        cluster.spawn(cluster.user(replicas, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(replicas, cancel_after=1e9))
         await asyncio.sleep(20.0)
-        holding = {key: name for key, places in cluster.checker.present.items() for name, _ in places}
+        holding = {key: name for key, places in cluster.checker.placements.items() for name, _ in places}
         with_replicas = {name for (job, _), name in holding.items() if job == "wk-000030"}
         cut = sorted(set(cluster.workers) - with_replicas)[:8] + sorted(with_replicas)[:1]
         for name in cut:
-            cluster.cuts.append(("machine", name, cluster.now() + 18.0))
+            cluster.network_faults.append(("machine", name, cluster.now() + 18.0))
         before = set(cluster.workers)
         await asyncio.sleep(14.0)
-        up = sum(bool(cluster.checker.present.get(("wk-000030", index))) for index in range(4))
+        up = sum(bool(cluster.checker.placements.get(("wk-000030", index))) for index in range(4))
         await asyncio.sleep(30.0)
         return cluster, before - set(cluster.workers), set(cut), with_replicas, up
 
     cluster, lost, cut, with_replicas, up = virtual_time.run(main())
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert not lost & (cut - with_replicas)  # all back
     assert lost & with_replicas  # but the replica's machine was given up
     assert up == 4  # and the replica runs elsewhere
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
 from passrock.settings import OperatorSettings, SettingsError, parse_settings, read_settings, resource_warnings
 from passrock.settings.checks import LEAST_CPU, LEAST_MEMORY_MB
 from passrock.settings.operator_files import RANGES
-from standins.deployment import node_table
+from standins.deployment import platform_settings
 from standins.loopback_cluster import toml
 
 ROOT = Path(__file__).parent.parent
@@ -71,7 +71,7 @@
     ],
 )
 def test_faults_are_named(path, value):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     change(table, path, value)
     faults = []
     parse_settings(table, OperatorSettings(), faults)
@@ -80,7 +80,7 @@
 
 
 def test_every_fault_is_reported_with_its_path_in_the_order_of_reading(tmp_path):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     change(table, "node", "")
     change(table, "client_listen", "10.0.0.1")
     change(table, "outside", None)
@@ -125,7 +125,7 @@
 
 
 def test_check_config(tmp_path, capsys):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text(toml(table) + "\n[news]\nunknown = 1\n")
     change(table, "node", 3)
@@ -133,7 +133,7 @@
     bad.write_text(toml(table))
     assert main(["check-config", str(good)]) == 0
     assert capsys.readouterr().err == ""
-    little = node_table(0, 3, ("a", "b", "c"))
+    little = platform_settings(0, 3, ("a", "b", "c"))
     change(little, "deployment.resources.cpu", 0.01)
     good.write_text(toml(little))
     assert main(["check-config", str(good)]) == 0  # it serves as well as can be
@@ -151,7 +151,7 @@
 
 def test_operator_settings(tmp_path):
     table, path = tmp_path / "node.toml", tmp_path / "passrock.hcl"
-    table.write_text(toml(node_table(0, 3, ("a", "b", "c"))))
+    table.write_text(toml(platform_settings(0, 3, ("a", "b", "c"))))
     path.write_text("round_s = 30\nalpha_extra = 0.2\n")
     assert read_settings(table, [path]).operator.round_s == 30
     assert read_settings(table, [ROOT / "deploy" / "passrock.hcl"]).operator == OperatorSettings()
@@ -226,7 +226,7 @@
 
 
 def full_table():
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     table["deployment"]["objectives"] = [{"kind": "wait", "class": "c", "within_s": 60.0, "share": 0.9}]
     return table
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -26,21 +26,24 @@
 
 def test_quiet_day_serves_everyone():
     checker, done = simulate(1, gap=float("inf"))
-    assert checker.broken == []
+    assert checker.violations == []
     assert done == 16
 
 
 @pytest.mark.parametrize(
     ("seed", "cluster"),
     [(seed, {}) for seed in range(10, 16)]
-    + [(seed, {"late": 0.05, "lost": 0.05}) for seed in range(20, 26)]
-    + [(seed, {"zones": ("a",), "late": 0.03}) for seed in range(30, 33)]
-    + [(seed, {"copies": 0.1, "late": 0.03, "lost": 0.03}) for seed in range(70, 76)]
-    + [(seed, {"freezes": True, "late": 0.03, "copies": 0.05}) for seed in range(90, 96)],
+    + [(seed, {"late_request_share": 0.05, "lost_answer_share": 0.05}) for seed in range(20, 26)]
+    + [(seed, {"zones": ("a",), "late_request_share": 0.03}) for seed in range(30, 33)]
+    + [
+        (seed, {"duplicate_share": 0.1, "late_request_share": 0.03, "lost_answer_share": 0.03})
+        for seed in range(70, 76)
+    ]
+    + [(seed, {"freezes": True, "late_request_share": 0.03, "duplicate_share": 0.05}) for seed in range(90, 96)],
 )
 def test_rules_hold_on_days_of_faults(seed, cluster):
     checker, done = simulate(seed, **cluster)
-    assert checker.broken == []
+    assert checker.violations == []
     assert checker.starts > 0
     assert done >= 8  # most users are served all the same
 
@@ -52,10 +55,10 @@
         cluster = SimulatedCluster(7)
         for number in range(6):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
-            cluster.spawn(cluster.user(spec, cancel_after=1e9))
+            cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
         await asyncio.sleep(100.0)
         before = set(cluster.workers)
-        running = dict(cluster.checker.present)
+        running = dict(cluster.checker.placements)
         starts = cluster.checker.starts
         leader = next(name for name, sim in cluster.nodes.items() if sim.node.leadership.leading)
         await cluster.crash([leader], 4.0)
@@ -65,12 +68,16 @@
     before, after, running, checker, starts = virtual_time.run(main())
     assert before == after
     assert len(running) == 6
-    assert (checker.present, checker.starts, checker.broken) == (running, starts, [])
+    assert (checker.placements, checker.starts, checker.violations) == (running, starts, [])
 
 
 def test_a_day_replays_exactly():
     first, second = simulate(42, duration=120.0), simulate(42, duration=120.0)
-    assert (first[0].starts, first[0].confirmed, first[1]) == (second[0].starts, second[0].confirmed, second[1])
+    assert (first[0].starts, first[0].confirmed_states, first[1]) == (
+        second[0].starts,
+        second[0].confirmed_states,
+        second[1],
+    )
 
 
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
@@ -78,8 +85,8 @@
     monkeypatch.setattr(
         MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
     )
-    rules = {rule for seed in range(50, 56) for _, rule, _ in simulate(seed, gap=6.0)[0].broken}
-    assert "ran_twice" in rules
+    rules = {rule for seed in range(50, 56) for _, rule, _ in simulate(seed, gap=6.0)[0].violations}
+    assert "task_ran_twice" in rules
 
 
 def test_checker_catches_answers_that_are_not_counted_as_renewals(monkeypatch):
@@ -93,8 +100,8 @@
         )
 
     monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
-    days = (simulate(seed, gap=8.0, copies=0.3)[0].broken for seed in range(80, 100))
-    assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
+    days = (simulate(seed, gap=8.0, duplicate_share=0.3)[0].violations for seed in range(80, 100))
+    assert any(rule == "task_ran_twice" for broken in days for _, rule, _ in broken)
 
 
 def test_checker_catches_stale_heartbeats_accepted_as_new(monkeypatch):
@@ -117,8 +124,8 @@
 
     monkeypatch.setattr(MachineInventory, "observe", accept_stale)
     monkeypatch.setattr(Reconciler, "handle", handle_any)
-    days = (simulate(seed, jobs=40, gap=float("inf"), copies=0.3)[0].broken for seed in (105, 117, 123))
-    assert any(rule == "ran_twice" for broken in days for _, rule, _ in broken)
+    days = (simulate(seed, jobs=40, gap=float("inf"), duplicate_share=0.3)[0].violations for seed in (105, 117, 123))
+    assert any(rule == "task_ran_twice" for broken in days for _, rule, _ in broken)
 
 
 def test_machine_that_hangs_across_a_takeover_is_replaced():
@@ -127,9 +134,9 @@
     async def main():
         cluster = SimulatedCluster(8)
         spec = cluster.job(1, format="service", precedence="prod", loanS=0.0)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
         await asyncio.sleep(60.0)
-        ((machine, _),) = cluster.checker.present[("wk-000001", 0)]
+        ((machine, _),) = cluster.checker.placements[("wk-000001", 0)]
         cluster.workers[machine].hung_until = cluster.now() + 60.0
         leader = next(name for name, sim in cluster.nodes.items() if sim.node.leadership.leading)
         await cluster.crash([leader], 4.0)
@@ -137,9 +144,9 @@
         return machine, cluster.checker
 
     machine, checker = virtual_time.run(main())
-    assert checker.broken == []
-    assert checker.present[("wk-000001", 0)]
-    assert machine not in dict(checker.present[("wk-000001", 0)])
+    assert checker.violations == []
+    assert checker.placements[("wk-000001", 0)]
+    assert machine not in dict(checker.placements[("wk-000001", 0)])
 
 
 @pytest.mark.parametrize(
@@ -158,11 +165,11 @@
         cluster = SimulatedCluster(9)
         for number in range(4):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
-            cluster.spawn(cluster.user(spec, cancel_after=1e9))
+            cluster.spawn(cluster.simulate_user(spec, cancel_after=1e9))
         await asyncio.sleep(60.0)
         starts = cluster.checker.starts
         leader = next(name for name, sim in cluster.nodes.items() if sim.node.leadership.leading)
-        cluster.spawn(cluster.outage(outage_s))
+        cluster.spawn(cluster.store_outage(outage_s))
         await asyncio.sleep(8.0)
         names = [leader, *(name for name in cluster.nodes if name != leader)]
         await cluster.crash(names[: len(names) - survivors], 3.0)
@@ -171,9 +178,9 @@
 
     starts, checker = virtual_time.run(main())
     assert starts == 4
-    assert checker.broken == []
+    assert checker.violations == []
     assert checker.starts == (starts if tasks_survive else 2 * starts)
-    assert all(checker.present[(f"wk-{number:06d}", 0)] for number in range(4))
+    assert all(checker.placements[(f"wk-{number:06d}", 0)] for number in range(4))
 
 
 def test_invalid_requests_are_answered_under_load():
@@ -217,23 +224,23 @@
     async def main():
         cluster = SimulatedCluster(11)
         spec = cluster.job(1, volumes=100_000)
-        cluster.spawn(cluster.user(spec, run_s=2.0, cancel_after=40.0))
+        cluster.spawn(cluster.simulate_user(spec, run_s=2.0, cancel_after=40.0))
         await asyncio.sleep(25.0)
         leader = next(name for name, sim in cluster.nodes.items() if sim.node.leadership.leading)
         await cluster.crash([leader], 0.2)
         await asyncio.sleep(10.0)
-        status, answer = await cluster.ask("GET", "/v2/runs/wk-000001")
+        status, answer = await cluster.request("GET", "/v2/runs/wk-000001")
         await asyncio.sleep(20.0)
-        left = [key for key in cluster.state.data if "wk-000001" in key]
+        left = [key for key in cluster.store.data if "wk-000001" in key]
         return cluster, status, answer, left
 
     cluster, status, answer, left = virtual_time.run(main())
-    assert cluster.checker.broken == []
-    assert cluster.state.oversized == 0
+    assert cluster.checker.violations == []
+    assert cluster.store.oversized_commits == 0
     assert status == 200
     assert answer["done"] >= 20
     assert left == ["p/f/wk-000001"]
-    assert cluster.checker.confirmed["wk-000001"][1] == "cancelled"
+    assert cluster.checker.confirmed_states["wk-000001"][1] == "cancelled"
 
 
 def test_malformed_answers_never_end_the_process():
@@ -241,24 +248,24 @@
 
     async def main():
         cluster = SimulatedCluster(12)
-        cluster.spawn(cluster.user(cluster.job(1), cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(cluster.job(1), cancel_after=1e9))
         await asyncio.sleep(20.0)
-        handlers = cluster.state.handle, cluster.cloud.handle
+        handlers = cluster.store.handle, cluster.cloud.handle
         junk = [(200, b"junk"), (200, cbor2.dumps([])), (200, cbor2.dumps({"ledger": -1, "events": 5})), (418, b"")]
 
         async def answer_junk(method, path, body):
             await asyncio.sleep(0.01)
             return cluster.rng.choice(junk)
 
-        cluster.state.handle = cluster.cloud.handle = answer_junk
+        cluster.store.handle = cluster.cloud.handle = answer_junk
         await asyncio.sleep(15.0)
-        cluster.state.handle, cluster.cloud.handle = handlers
-        cluster.spawn(cluster.user(cluster.job(2)))
+        cluster.store.handle, cluster.cloud.handle = handlers
+        cluster.spawn(cluster.simulate_user(cluster.job(2)))
         await asyncio.sleep(60.0)
-        return cluster, [sim.work.done() for sim in cluster.nodes.values()]
+        return cluster, [sim.main_task.done() for sim in cluster.nodes.values()]
 
     cluster, ended = virtual_time.run(main())
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert cluster.done_users == 2
     assert ended == [False, False, False]
 
@@ -267,7 +274,14 @@
     """Hundreds of machines: a mass restart, a leader paused during a mass loss, and an outage with lost machines."""
     limits = {"report_s": 2.5, "lease_s": 15.0}
     cluster = SimulatedCluster(
-        seed, machines=200, teams=6, guarantee=50.0, limit=200.0, capacity=(50, 20), limits=limits, copies=0.02
+        seed,
+        machines=200,
+        teams=6,
+        guarantee=50.0,
+        quota=200.0,
+        capacity=(50, 20),
+        limits=limits,
+        duplicate_share=0.02,
     )
     replicas = [
         cluster.job(n, desk=f"t{n % 6}", format="service", volumes=6, spread=True, precedence="prod", loanS=0.0)
@@ -283,31 +297,31 @@
         cancel = 1e9 if spec["format"] == "service" else None
         at = number * 0.1 if number < 60 else number * 1.5
         asyncio.get_running_loop().call_later(
-            at, lambda s=spec, c=cancel: cluster.spawn(cluster.user(s, cluster.rng.uniform(10.0, 40.0), c))
+            at, lambda s=spec, c=cancel: cluster.spawn(cluster.simulate_user(s, cluster.rng.uniform(10.0, 40.0), c))
         )
     await asyncio.sleep(25.0)
     await cluster.crash(list(cluster.nodes), 0.3)
     await asyncio.sleep(15.0)
     names = sorted(cluster.workers)
     for name in cluster.rng.sample(names, 50):
-        cluster.cuts.append(("machine", name, cluster.now() + 40.0))
+        cluster.network_faults.append(("machine", name, cluster.now() + 40.0))
     await asyncio.sleep(4.0)
     leader = next(sim for sim in cluster.nodes.values() if sim.node.leadership.leading)
     leader.frozen_until = cluster.now() + 20.0
     await asyncio.sleep(56.0)
-    cluster.spawn(cluster.outage(8.0))
+    cluster.spawn(cluster.store_outage(8.0))
     for name in cluster.rng.sample(sorted(cluster.workers), 20):
         cluster.cloud.delete(name)
     await asyncio.sleep(6.0)
     await cluster.crash(list(cluster.nodes), 2.0)
     await asyncio.sleep(150.0)  # arrays that may use cheap machines wait for them for a while
-    up = sum(bool(places) for (job, _), places in cluster.checker.present.items() if int(job[3:]) < 20)
+    up = sum(bool(places) for (job, _), places in cluster.checker.placements.items() if int(job[3:]) < 20)
     return cluster, up
 
 
 def test_hundreds_of_machines_through_mass_restart_freeze_loss_and_outage():
     cluster, up = virtual_time.run(mass_failures(1))
-    assert cluster.checker.broken == []
-    assert cluster.state.oversized == 0
+    assert cluster.checker.violations == []
+    assert cluster.store.oversized_commits == 0
     assert up == 120  # every replica is up again
     assert cluster.done_users == 60  # and every other job has ended
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -19,14 +19,14 @@
     began = cluster.now()
     spec = cluster.job(number)
     cluster.specs[spec["ref"]], cluster.run_times[spec["ref"]] = spec, 5.0
-    status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(spec), 5.0, node=node)
+    status, _ = await cluster.request("POST", "/v2/runs", cbor2.dumps(spec), 5.0, node=node)
     return status, cluster.now() - began
 
 
 async def query_repeatedly(cluster, node, job, answers):
     """A user who queries a job ten times a second."""
     while True:
-        status, _ = await cluster.ask("GET", f"/v2/runs/{job}", node=node)
+        status, _ = await cluster.request("GET", f"/v2/runs/{job}", node=node)
         answers.append(status)
         await asyncio.sleep(0.1)
 
@@ -83,12 +83,12 @@
     """The leader once spent its rate of changes for a second ahead on each large transaction of its own."""
 
     async def main():
-        cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, limit=100.0)
+        cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, quota=100.0)
         leader = await cluster.wait_for_leader()
         body = {"cores": 0.5, "cards": 0.0, "ramGb": 0.5, "edition": "img-0"}
         for number in range(100, 400):
             spec = cluster.job(number, **body)
-            cluster.spawn(cluster.user(spec, run_s=3.0 + number % 7))
+            cluster.spawn(cluster.simulate_user(spec, run_s=3.0 + number % 7))
         await asyncio.sleep(12.0)
         took = []
         for number in range(1, 13):
@@ -103,4 +103,4 @@
     assert [status for status, _ in took] == [201] * 12
     assert max(seconds for _, seconds in took) < PROMPT_S
     assert cluster.done_users == 300  # whose writes were held up, but not for ever
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
--- a/tools/admission_load_test.py
+++ b/tools/admission_load_test.py
@@ -46,7 +46,7 @@
         cluster.spawn(one.run(rate or options.rate, for_s, run_s=run_s))
     while cluster.now() - begin < for_s:
         await asyncio.sleep(min(180.0, for_s))
-        entry = cluster.state.data.get("p/lead")
+        entry = cluster.store.data.get("p/lead")
         if entry is not None:
             await cluster.kill(entry[0]["node"])
             await asyncio.sleep(3.0)
@@ -70,7 +70,7 @@
     print(
         f"admission {'off' if options.off else 'on'}, {end - begin:.0f} s, {len(checker.accepted_at)} jobs accepted"
     )
-    print(f"rules broken: {cluster.checker.broken}; of admission: {checker.verify()}")
+    print(f"rules broken: {cluster.checker.violations}; of admission: {checker.verify()}")
     print("class   asked  admitted  gave up  wait p50/p99/max s       starts  longest time without a start s")
     for first, name, *_ in FLOWS:
         prefix = f"wk-{first}"[:6] if name in ("low", "gang") else f"wk-{first}"[:4]
--- a/tools/measure_leader_cpu.py
+++ b/tools/measure_leader_cpu.py
@@ -84,7 +84,7 @@
         machines=machines // 4,
         teams=10,
         guarantee=machines / 8.0,
-        limit=machines * 0.8,
+        quota=machines * 0.8,
         capacity=(machines // 4, machines // 12),
         limits={"report_s": 2.5, "lease_s": 15.0},
         admission=admission,
@@ -96,7 +96,7 @@
         at = 0.0 if number < count / 6 else cluster.rng.uniform(0.0, duration * 0.9)
         run_s = cluster.rng.uniform(30.0, 150.0)
         asyncio.get_running_loop().call_later(
-            at, lambda s=spec, c=cancel, r=run_s: cluster.spawn(cluster.user(s, r, c))
+            at, lambda s=spec, c=cancel, r=run_s: cluster.spawn(cluster.simulate_user(s, r, c))
         )
     await asyncio.sleep(duration)
     return cluster
@@ -136,7 +136,7 @@
             timed(owner, name)
     admission = AdmissionSettings() if options.admission else None
     done = virtual_time.run(main(options.machines, options.seconds, admission))
-    print(f"machines {len(done.workers)}, starts {done.checker.starts}, broken {done.checker.broken}")
+    print(f"machines {len(done.workers)}, starts {done.checker.starts}, broken {done.checker.violations}")
     for what, times in SPENT.items():
         total = sum(times)
         print(
--- a/tools/rolling_restart.py
+++ b/tools/rolling_restart.py
@@ -35,9 +35,9 @@
 class RollingRestartCluster(LoopbackCluster):
     """A cluster whose users take a request without an answer for one that failed."""
 
-    async def ask(self, method, path, body=b"", timeout=2.0, node=None):
+    async def request(self, method, path, body=b"", timeout=2.0, node=None):
         try:
-            return await super().ask(method, path, body, timeout, node)
+            return await super().request(method, path, body, timeout, node)
         except TimeoutError:
             return 0, {}
 
@@ -50,7 +50,9 @@
         fields = KINDS[number % len(KINDS)]
         cancelled = fields["format"] == "service" or number % 9 == 0
         spec = cluster.job(number, **fields)
-        user = cluster.spawn(cluster.user(spec, run_s=RUN_S, cancel_after=CANCEL_AFTER_S if cancelled else None))
+        user = cluster.spawn(
+            cluster.simulate_user(spec, run_s=RUN_S, cancel_after=CANCEL_AFTER_S if cancelled else None)
+        )
         served[spec["ref"]] = user
         await asyncio.sleep(SUBMISSION_INTERVAL_S)
 
@@ -66,7 +68,7 @@
 
 def leader_of(cluster):
     """The controller that the leader key names."""
-    entry = cluster.state.data.get("p/lead")
+    entry = cluster.store.data.get("p/lead")
     return entry[0]["node"] if entry is not None else None
 
 
@@ -104,8 +106,8 @@
         cluster, served = asyncio.run(run_scenario(options, Path(folder)))
     failed = [job for job, user in served.items() if user.done() and not user.cancelled() and user.exception()]
     print(f"jobs submitted {len(served)}, served {cluster.done_users}, users that failed {failed}")
-    print(f"tasks started {cluster.checker.starts}, rules broken {cluster.checker.broken}")
-    return 1 if cluster.checker.broken or failed or cluster.done_users < len(served) else 0
+    print(f"tasks started {cluster.checker.starts}, rules broken {cluster.checker.violations}")
+    return 1 if cluster.checker.violations or failed or cluster.done_users < len(served) else 0
 
 
 if __name__ == "__main__":
