--- a/tests/standins/checker.py
+++ b/tests/standins/checker.py
@@ -134,11 +134,11 @@
 
     # -- answers -------------------------------------------------------------------------------------
 
-    def on_answer(self, job, asked_at, status, body, submission=False):
-        """Check an answer to a user's request that was sent at ``asked_at``."""
+    def on_answer(self, job, sent_at, status, body, submission=False):
+        """Check an answer to a user's request that was sent at ``sent_at``."""
         if status in (400, 422) and job in self.accepted:
             self.record_violation("job_lost_or_unanswered", f"{job} refused with status {status}")
-        if status == 404 and self.confirmed_states.get(job, (math.inf, ""))[0] <= asked_at:
+        if status == 404 and self.confirmed_states.get(job, (math.inf, ""))[0] <= sent_at:
             self.record_violation("job_lost_or_unanswered", f"{job} answered with status 404")
         if status not in (200, 201):
             return
@@ -148,10 +148,10 @@
         if job not in self.cluster.specs:
             self.record_violation("unknown_job_confirmed", job)
             return
-        self._check_state(job, asked_at, body["status"])
+        self._check_state(job, sent_at, body["status"])
         self.accepted.add(job)
 
-    def _check_state(self, job, asked_at, state):
+    def _check_state(self, job, sent_at, state):
         """Check that a state given to a user is true and doesn't contradict the states given before."""
         if state == "done":
             spec = self.cluster.specs[job]
@@ -160,7 +160,7 @@
         if state == "cancelled" and job not in self.cancel_requested:
             self.record_violation("state_contradicted", f"{job} is cancelled though no user requested it")
         previous_at, previous = self.confirmed_states.get(job, (math.inf, ""))
-        if previous in FINAL_STATES and state != previous and previous_at <= asked_at:
+        if previous in FINAL_STATES and state != previous and previous_at <= sent_at:
             self.record_violation("state_contradicted", f"{job} was {previous}, is {state}")
         if state == "cancelled":
             self.confirmed_cancelled_at.setdefault(job, self.cluster.now())
--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -157,7 +157,7 @@
     confirmed = await cluster.cancel("wk-000003", cluster.leaders()[0])
     answer = await cluster.request("GET", "/v2/runs/wk-000003", node=leader)
     await asyncio.sleep(25.0)
-    # the old leader can't know of the cancellation and must refuse to answer
+    # the old leader has not received the cancellation and must refuse to answer
     return confirmed and answer[0] in (429, 503)
 
 
@@ -316,14 +316,14 @@
     cluster.specs[valid["ref"]] = valid
     coincided = True
     for body, expected in invalid:
-        asked_at = cluster.now()
+        sent_at = cluster.now()
         status, answer = await cluster.request("POST", "/v2/runs", cbor2.dumps(body), 5.0)
-        cluster.checker.on_answer(valid["ref"], asked_at, status, answer)
+        cluster.checker.on_answer(valid["ref"], sent_at, status, answer)
         coincided = coincided and status in (expected, 0)
     for number in range(9):
-        asked_at, job = cluster.now(), f"wk-{number:06d}"
+        sent_at, job = cluster.now(), f"wk-{number:06d}"
         status, answer = await cluster.request("POST", "/v2/runs", cbor2.dumps(cluster.specs[job]), 5.0)
-        cluster.checker.on_answer(job, asked_at, status, answer, submission=True)
+        cluster.checker.on_answer(job, sent_at, status, answer, submission=True)
     return coincided
 
 
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -56,10 +56,10 @@
         self.specs[job], self.run_times[job] = spec, run_s
         body = cbor2.dumps(spec)
         while True:
-            asked_at = self.now()
+            sent_at = self.now()
             status, answer = await self.request("POST", "/v2/runs", body, 5.0)
             if status:
-                self.checker.on_answer(job, asked_at, status, answer, submission=True)
+                self.checker.on_answer(job, sent_at, status, answer, submission=True)
             if status in (200, 201):
                 break
             assert status not in (400, 422), (status, answer)
@@ -67,32 +67,32 @@
         accepted_at = self.now()
         while True:
             await asyncio.sleep(self.rng.uniform(1.0, 3.0))
-            asked_at = self.now()
+            sent_at = self.now()
             self.checker.on_query(job)
-            if cancel_after_s is not None and asked_at - accepted_at > cancel_after_s:
+            if cancel_after_s is not None and sent_at - accepted_at > cancel_after_s:
                 self.checker.cancel_requested.add(job)
                 status, answer = await self.request("POST", f"/v2/runs/{job}/withdraw", b"", 2.0)
             else:
                 status, answer = await self.request("GET", f"/v2/runs/{job}", b"", 2.0)
             if status:
-                self.checker.on_answer(job, asked_at, status, answer)
+                self.checker.on_answer(job, sent_at, status, answer)
             if status in (200, 201) and answer["status"] in ("done", "cancelled"):
                 break
         self.done_users += 1
         for _ in range(5):  # the final state must stay
             await asyncio.sleep(self.rng.uniform(5.0, 15.0))
-            asked_at = self.now()
+            sent_at = self.now()
             status, answer = await self.request("GET", f"/v2/runs/{job}")
             if status:
-                self.checker.on_answer(job, asked_at, status, answer)
+                self.checker.on_answer(job, sent_at, status, answer)
 
     async def cancel(self, job, node=None):
         """Send one cancellation request; return whether the cancellation was confirmed."""
         self.checker.cancel_requested.add(job)
-        asked_at = self.now()
+        sent_at = self.now()
         status, answer = await self.request("POST", f"/v2/runs/{job}/withdraw", node=node)
         if status:
-            self.checker.on_answer(job, asked_at, status, answer)
+            self.checker.on_answer(job, sent_at, status, answer)
         return status == 200 and answer["status"] == "cancelled"
 
     async def cancel_until_confirmed(self, job):
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -46,7 +46,7 @@
         self.tasks = {}  # (job, index, attempt number) -> task
         self.lease_renewed_at = self.now()  # when the last heartbeat with an accepted answer was sent
         self.alive = True
-        self.hung_until = 0.0  # until then the process stands still: no heartbeats, lease checks or task events
+        self.hung_until = 0.0  # until then the process is suspended: no heartbeats, lease checks or task events
         self.tasks_fail = False  # whether the machine is faulty: each task exits with an error after 0.5 s
         self.reclaim_at = None  # when the cloud takes the machine back, once it has given notice
         self.state_changed = asyncio.Event()
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -47,10 +47,10 @@
             return answer
 
         lookup.fence.wait, lookup.store.get = no_fence, get
-        asked_at = cluster.now()
+        sent_at = cluster.now()
         status, answer = await cluster.request("GET", "/v2/runs/wk-000000", timeout=30.0, node=stale_node)
         confirmed_at, confirmed_status = cluster.checker.confirmed_states["wk-000000"]
-        return status, answer["status"], confirmed_status, asked_at < confirmed_at
+        return status, answer["status"], confirmed_status, sent_at < confirmed_at
 
     assert virtual_time.run(main()) == (200, "cancelled", "cancelled", True)
 
