--- a/src/passrock/controller/local_heartbeat.py
+++ b/src/passrock/controller/local_heartbeat.py
@@ -1,4 +1,4 @@
-"""This controller's own heartbeat to its peers: role, term, its view of the store, and what it knows."""
+"""This controller's heartbeat to its peers: role, term, state of the store, and completeness of its data."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LocalHeartbeat:
-    """Makes this controller's heartbeat as of the moment of the call."""
+    """Builds this controller's heartbeat from its state at the time of the call."""
 
     def __init__(
         self,
@@ -31,15 +31,15 @@
         self.redirects = redirects
 
     def __call__(self) -> PeerHeartbeat:
-        """The heartbeat, without the log of cancellations."""
+        """Return the heartbeat, without the log of cancellations."""
         now = monotonic_time()
         return PeerHeartbeat(
             node=self.node,
-            term=self.leadership.known_term,
+            term=self.leadership.highest_term,
             leading=self.leadership.leading,
             store_down=self.store.is_unavailable(now, self.renewal.store_down_after_s),
             replica_loaded=self.replica.loaded,
-            redirected_workers=self.redirects.recent_count(now),
+            redirected_workers=self.redirects.recent_worker_count(now),
             incarnation=self.leadership.incarnation,
             staleness_s=self.renewal.cancellations_staleness_s(now),
         )
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -1,4 +1,4 @@
-"""A controller as a process: real clients, listening sockets, and settings of the interpreter."""
+"""A controller process: network clients, listening sockets, and garbage collection settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import random
 
 from passrock import __version__
-from passrock.controller.node import STATE_CONNECTIONS, Node
+from passrock.controller.node import STORE_CONNECTIONS, Node
 from passrock.core.token_bucket import TokenBucket
 from passrock.io.cloud import CloudClient
 from passrock.io.http_client import HttpClient
@@ -19,16 +19,16 @@
 
 WATCH_CONNECTIONS = 2
 CLOUD_CONNECTIONS = 4
-CLOUD_RATE_SHARE = 0.8  # the part of the cloud's rate that this controller uses
-IDLE_TIMEOUT_S = 60.0  # of a client's connection
-HEAD_TIMEOUT = 4.0  # heartbeat intervals in which a whole request has to arrive
-GC_THRESHOLDS = (20_000, 20, 50)  # of the three generations: collections are rarer than by default
+CLOUD_RATE_SHARE = 0.8  # of the cloud's request rate, used by this controller
+IDLE_TIMEOUT_S = 60.0  # of client connections
+REQUEST_TIMEOUT_HEARTBEATS = 4.0  # heartbeat intervals within which a request must arrive in full
+GC_THRESHOLDS = (20_000, 20, 50)  # by generation; collections are less frequent than by default
 
 
 def build_node(settings: Settings, rng: random.Random) -> Node:
-    """A node with real clients."""
+    """Return a node with network clients."""
     store = KeyValueStoreClient(
-        HttpClient(settings.state, STATE_CONNECTIONS),
+        HttpClient(settings.state, STORE_CONNECTIONS),
         HttpClient(settings.state, WATCH_CONNECTIONS),
         TokenBucket(settings.state_rps, settings.state_rps),
         TokenBucket(settings.state_write_rps, settings.state_write_rps),
@@ -41,26 +41,26 @@
 
 
 async def run_node(node: Node) -> None:
-    """Listen and work until cancelled."""
+    """Listen for requests and run the node until cancelled."""
     settings = node.settings
     server = HttpServer(
         node.handle,
-        node.sockets,
+        node.max_sockets,
         idle_timeout_s=IDLE_TIMEOUT_S,
-        head_timeout_s=settings.report_s * HEAD_TIMEOUT,
+        head_timeout_s=settings.report_s * REQUEST_TIMEOUT_HEARTBEATS,
     )
     listening = await server.start(settings.client_listen.host, settings.client_listen.port)
     peer_listening = await node.peers.listen(settings.peer_listen)
     for warning in resource_warnings(settings):
         info("settings_warning", warning=warning)
     info("controller_started", version=__version__, node=settings.node, peers=len(settings.peers))
-    _tune_garbage_collection()
+    _configure_garbage_collection()
     async with listening, peer_listening:
-        await node.work()
+        await node.run()
 
 
 def serve(settings: Settings) -> None:
-    """Run a controller until it is killed."""
+    """Run a controller until the process ends."""
     start_logging(settings.node)
 
     async def main() -> None:
@@ -69,8 +69,8 @@
     asyncio.run(main())
 
 
-def _tune_garbage_collection() -> None:
-    """Leave what the start has made out of all later collections."""
+def _configure_garbage_collection() -> None:
+    """Exclude the objects created during startup from later collections."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/tests/standins/simulated_controller.py
+++ b/tests/standins/simulated_controller.py
@@ -78,7 +78,7 @@
     def subscribe(self, listener):
         self.listeners.append(listener)
 
-    async def ask(self, heartbeat, timeout):
+    async def send_heartbeat(self, heartbeat, timeout):
         peer_process = self.cluster.nodes.get(self.peer)
         sent_at = self.cluster.now()
         peer_down = peer_process is None or not peer_process.alive
@@ -124,7 +124,7 @@
         cloud = CloudClient(ServiceLink(cluster, self, cluster.cloud, False), TokenBucket(5.0, 6.0))
         links = [SimulatedPeerLink(cluster, self, peer.node) for peer in settings.peers]
         self.node = Node(settings, store, cloud, links, rng)
-        self.main_task = self.context.run(asyncio.ensure_future, self.node.work())
+        self.main_task = self.context.run(asyncio.ensure_future, self.node.run())
 
     async def answer(self, request):
         """Answer a request; while the process is frozen, the request waits as it would in a socket."""
--- a/tests/test_checker_detects_violations.py
+++ b/tests/test_checker_detects_violations.py
@@ -21,7 +21,7 @@
 
 
 def assume_all_cancellations_known(monkeypatch):
-    monkeypatch.setattr(RenewalPolicy, "knows_cancellations", lambda self, within_s: True)
+    monkeypatch.setattr(RenewalPolicy, "has_all_cancellations", lambda self, older_than_s: True)
 
 
 def ignore_cancellations_of_peers(monkeypatch):
@@ -35,7 +35,7 @@
 
 
 def keep_machines_with_cancelled_tasks_in_a_correlated_outage(monkeypatch):
-    monkeypatch.setattr(FailureDetector, "delete_with_cancelled_tasks", lambda self, now: None)
+    monkeypatch.setattr(FailureDetector, "delete_machines_with_cancelled_tasks", lambda self, now: None)
 
 
 def accept_every_submission(monkeypatch):
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -27,7 +27,7 @@
 from builders import heartbeat as worker_heartbeat
 from passrock.admission.controller.allocation_store import AllocationStore
 from passrock.admission.controller.allocator import SlotAllocator
-from passrock.admission.controller.dispatch import Dispatch
+from passrock.admission.controller.dispatch import DispatchPrioritizer
 from passrock.admission.controller.outcomes import SlotOutcomes
 from passrock.admission.controller.submission_admitter import SubmissionAdmitter
 from passrock.admission.core.allocation import Allocation, NodeGrant, ReceivedService
@@ -36,7 +36,7 @@
 from passrock.admission.core.flows import Flow, Weights
 from passrock.admission.core.grants import GrantLedger
 from passrock.admission.core.slots import SlotClock
-from passrock.admission.core.starvation import Obstacle, StartWatch
+from passrock.admission.core.starvation import Obstacle, StartTracker
 from passrock.admission.io.decision_log import DecisionLog, DecisionLogError, log_files, read_file
 from passrock.admission.settings import AdmissionSettings
 from passrock.admission.wire.allocation_record import UnreadableAllocationError, decode_allocation, encode_allocation
@@ -143,7 +143,7 @@
     ExitReason.ATTEMPT_IN_USE: "busy",
     ExitReason.JOB_UNKNOWN: "unknown",
 }
-COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.FORGET}
+COMMAND_KINDS = {"start": CommandKind.START, "stop": CommandKind.STOP, "forget": CommandKind.ACKNOWLEDGE_EXIT}
 
 
 def flows(pairs, make=lambda value: value):
@@ -524,7 +524,7 @@
     """A job's own record and that of its further tasks."""
     harness, _ = started_job()
     queue = commit_queue(state_client(http), harness.job_table)
-    assert await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build_transaction(12))
 
 
 async def finish_jobs(http):
@@ -540,8 +540,8 @@
     )
     harness.job_table.cancel(other, 50.0)
     queue = commit_queue(state_client(http), harness.job_table)
-    assert await queue.commit(queue.build(12))
-    assert await queue.commit(queue.build(12))
+    assert await queue.commit(queue.build_transaction(12))
+    assert await queue.commit(queue.build_transaction(12))
 
 
 async def withdraw_a_job(http):
@@ -785,9 +785,9 @@
             }
         }
         work = asyncio.ensure_future(replica.run())
-        assert await replica.reach(4001, 5.0)
+        assert await replica.wait_for_revision(4001, 5.0)
         work.cancel()
-        return answer, dict(replica.finals)
+        return answer, dict(replica.final_statuses)
 
     answer, finals = virtual_time.run(main())
     assert answer.status == 200
@@ -803,7 +803,7 @@
         replica = make_replica(client, entries)
         redirects = make_redirects(client, replica)
         replica.apply([store.Change(entry.key, True, entry.value, entry.mod_revision) for entry in entries], 0)
-        return redirects.leader(monotonic_time()), redirects.leadership.known_term
+        return redirects.current_leader(monotonic_time()), redirects.leadership.highest_term
 
     assert virtual_time.run(main()) == ("n1", 41)
 
@@ -818,7 +818,7 @@
         node = make_node(RecordingHttp(), AdmissionSettings())
         record = msgspec.json.decode(golden("records/job_array.record"))
         apply_to_replica(node, "p/j/wk-4071", record)
-        return plain(node.admission.admitted.of(4711))
+        return plain(node.admission.admitted.counts(4711))
 
     assert virtual_time.run(main()) == [[["team-ore", "class-sift"], 1]]
 
@@ -855,14 +855,14 @@
         leadership = make_leadership(client, make_replica(client))
         settings, admission = make_settings(AdmissionSettings()), AdmissionSettings()
         control = make_node(RecordingHttp(), AdmissionSettings()).admission
-        dispatch = Dispatch(StartWatch(60.0), 600.0, 120.0, 1.0)
+        dispatch = DispatchPrioritizer(StartTracker(60.0), 600.0, 120.0, 1.0)
         weights, demand, concluded = control.weights, control.demand, []
         outcomes = SlotOutcomes(control.clock, weights, control.admitted, demand, dispatch, concluded.append)
         allocations = AllocationStore(dict, lambda allocation: None)
         for slot, version, pages in ((4709, 61, 2), (4710, 62, 1), (4711, 63, 3)):
             allocations.put(make_allocation({**spelt("records/allocation"), "slot": slot}), version, pages)
         allocator = SlotAllocator(
-            settings, admission, client, leadership, allocations, outcomes, control.report, lambda: 0.0
+            settings, admission, client, leadership, allocations, outcomes, control.demand_report, lambda: 0.0
         )
         await allocator.decide(4712)
         return http.changing(), allocations.get(4712).mod_revision
@@ -903,7 +903,7 @@
         finals = []
         queue = commit_queue(client, harness.job_table)
         queue.on_finalized = lambda *final: finals.append(list(final))
-        assert await queue.commit(queue.build(12))
+        assert await queue.commit(queue.build_transaction(12))
         return finals, job.cancelled, job.cancelled_at
 
     finals, cancelled, at = virtual_time.run(main())
@@ -936,7 +936,7 @@
     def subscribe(self, listener):
         self.listener = listener
 
-    async def ask(self, heartbeat, timeout):
+    async def send_heartbeat(self, heartbeat, timeout):
         self.sent.append(frame(heartbeat))
 
 
@@ -952,7 +952,7 @@
 def test_answer_to_the_golden_message_keeps_its_bytes():
     known = CancellationLog(1e6)
     for number in range(20):
-        known.learn(f"wk-{5000 + number}", 0.0)
+        known.add(f"wk-{5000 + number}", 0.0)
 
     async def main():
         peers, peer, seen = peers_with_a_fake(known)
@@ -975,9 +975,9 @@
         node.leadership.incarnation = node.admission.incarnation = 7000001
         node.replica.mark_complete(7.375)
         for number in range(3):
-            node.cancellations.learn(f"wk-{5000 + number}", 8.0)
+            node.cancellations.add(f"wk-{5000 + number}", 8.0)
         for number in range(2):
-            node.redirects.target(f"host-{number}", 41)
+            node.redirects.redirect_target(f"host-{number}", 41)
         node.admission.admitter.decide(make_spec(spelt("users/submission_array")))
         await asyncio.sleep(2.5)
         use_wall_clock(lambda: TIME_OF_DAY + 0.5)
@@ -1059,7 +1059,7 @@
         client = state_client(RecordingHttp())
         client.last_success_at = 0.0
         replica = make_replica(client, [store.Entry("p/lead", value, 7)])
-        return make_redirects(client, replica).leader(monotonic_time())
+        return make_redirects(client, replica).current_leader(monotonic_time())
 
     assert virtual_time.run(main()) is None
 
@@ -1071,7 +1071,7 @@
         replica = make_replica(client)
         leadership = Leadership(make_settings(), client, replica, random.Random(5))
         replica.apply([store.Change("p/term", True, value, 7)], 0)
-        return leadership.known_term
+        return leadership.highest_term
 
     assert virtual_time.run(main()) == 0
 
@@ -1081,7 +1081,7 @@
     async def main():
         node = make_node(RecordingHttp(), AdmissionSettings())
         apply_to_replica(node, "p/j/wk-4071", {**msgspec.json.decode(golden("records/job_array.record")), "ad": mark})
-        return [node.admission.admitted.of(slot) for slot in (4711, 13)]
+        return [node.admission.admitted.counts(slot) for slot in (4711, 13)]
 
     assert virtual_time.run(main()) == [{}, {}]
 
--- a/tools/admission_load_test.py
+++ b/tools/admission_load_test.py
@@ -20,8 +20,8 @@
     OBJECTIVES,
     AdmissionChecker,
     SubmissionLoad,
-    longest_gap,
-    note_starts,
+    longest_gap_s,
+    record_starts,
 )
 from standins.loopback_cluster import LoopbackCluster  # noqa: E402
 
@@ -39,7 +39,7 @@
     """Run the load; return the cluster, the checker, starts by class, and the begin and end of the load."""
     cluster = LoopbackCluster(options.seed, zones=("a",), machines=8, objectives=OBJECTIVES, capacity=(0, 0))
     cluster.operator_files = [] if options.off else [ROOT / "deploy" / "admission.hcl"]
-    checker, starts = AdmissionChecker(cluster), note_starts(cluster)
+    checker, starts = AdmissionChecker(cluster), record_starts(cluster)
     await cluster.serve(folder)
     for name in cluster.nodes:
         await cluster.start(name)
@@ -78,9 +78,9 @@
     print("class   asked  admitted  gave up  wait p50/p99/max s       starts  longest time without a start s")
     for first, name, *_ in FLOWS:
         prefix = f"wk-{first}"[:6] if name in ("low", "gang") else f"wk-{first}"[:4]
-        waits = sorted(checker.waits(prefix))
+        waits = sorted(checker.admission_waits_s(prefix))
         admitted = [wait for wait in waits if wait < float("inf")]
-        gave_up = sum(job.startswith(prefix) for job in checker.given_up)
+        gave_up = sum(job.startswith(prefix) for job in checker.abandoned)
         quantiles = [
             admitted[int(len(admitted) * fraction)] if admitted else float("nan") for fraction in (0.5, 0.99)
         ] + [max(admitted, default=0.0)]
@@ -88,7 +88,7 @@
         print(
             f"{name:7} {len(waits):5} {len(admitted):9} {gave_up:8}  "
             f"{quantiles[0]:7.2f} {quantiles[1]:7.2f} {quantiles[2]:7.2f}"
-            f" {len(times):12}  {longest_gap(times, begin, end):7.1f}"
+            f" {len(times):12}  {longest_gap_s(times, begin, end):7.1f}"
         )
 
 
