--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -49,7 +49,7 @@
         self.without_grant_reference = 0
         self.accepted_at = {}
         self.first_submitted_at, self.answered_at, self.abandoned = {}, {}, set()
-        self._change, cluster.state._change = cluster.state._change, self._on_writes
+        self._change, cluster.store._apply = cluster.store._apply, self._on_writes
 
     def _on_writes(self, writes):
         for write in writes:
@@ -57,7 +57,7 @@
             if key.startswith(keys.ALLOCATION):
                 if self.pages.setdefault(key, write["v"]) != write["v"]:
                     self.violations.append(("two_allocations", key))
-            elif key.startswith(keys.JOB) and key not in self.cluster.state.data:
+            elif key.startswith(keys.JOB) and key not in self.cluster.store.data:
                 self._accepted(key[len(keys.JOB) :], write["v"])
         self._change(writes)
 
@@ -114,13 +114,13 @@
 def record_starts(cluster):
     """Return a dictionary in which the times of all starts are recorded by class."""
     starts = {}
-    started = cluster.checker.started
+    started = cluster.checker.on_task_started
 
     def record(worker, task):
         starts.setdefault(cluster.specs[task.job]["shelfmark"], []).append(cluster.now())
         started(worker, task)
 
-    cluster.checker.started = record
+    cluster.checker.on_task_started = record
     return starts
 
 
@@ -142,7 +142,7 @@
         """Update the measurement every two seconds."""
         while True:
             await asyncio.sleep(2.0)
-            started = {job for (job, _), places in self.cluster.checker.present.items() if places}
+            started = {job for (job, _), places in self.cluster.checker.placements.items() if places}
             started |= {job for job, _ in self.cluster.completed}
             oldest = {}
             for job, at in self.checker.accepted_at.items():
@@ -165,13 +165,13 @@
         try:
             async with asyncio.timeout(5.0):
                 target = node or cluster.rng.choice(cluster.serving())
-                response = await cluster._ask(target, Request("POST", "/v2/runs", body))
+                response = await cluster._send(target, Request("POST", "/v2/runs", body))
         except (TimeoutError, ConnectionError):
             response = None
         if response is not None:
             if response.status in (200, 201):
                 checker.answered_at.setdefault(job, cluster.now())
-                cluster.checker.answered(job, asked_at, response.status, cbor2.loads(response.body), submission=True)
+                cluster.checker.on_answer(job, asked_at, response.status, cbor2.loads(response.body), submission=True)
                 return True
             retry_after_s = max(retry_after_s, response.retry_after or 0.0)
         await asyncio.sleep(retry_after_s)
--- a/tests/test_admission_loopback.py
+++ b/tests/test_admission_loopback.py
@@ -12,9 +12,9 @@
 
 async def run_overload(folder):
     cluster = LoopbackCluster(6, zones=("a",), machines=4, objectives=OBJECTIVES)
-    cluster.operator = [folder / "admission.hcl"]
+    cluster.operator_files = [folder / "admission.hcl"]
     text = (ROOT / "deploy" / "admission.hcl").read_text().replace('log_dir = ""', f'log_dir = "{folder / "log"}"')
-    cluster.operator[0].write_text(text.replace("slot_ratio = 4.0", "slot_ratio = 2.0"))
+    cluster.operator_files[0].write_text(text.replace("slot_ratio = 4.0", "slot_ratio = 2.0"))
     checker, starts = AdmissionChecker(cluster), record_starts(cluster)
     await cluster.serve(folder)
     for name in cluster.nodes:
@@ -43,7 +43,7 @@
 def test_overload_of_three_processes(tmp_path, capsys):
     cluster, checker = asyncio.run(run_overload(tmp_path))
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert checker.without_grant_reference == 0  # every job was admitted against a grant
     assert len({incarnation for _, incarnation in checker.admitted}) == 3  # each controller admitted jobs
     submitted = sum(job.startswith("wk-1") for job in checker.first_submitted_at)
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -120,7 +120,7 @@
     cluster, checker, interrupted_slots, begin = virtual_time.run(main())
     assert interrupted_slots
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert max(checker.admission_waits_s("wk-9", begin)) <= ADMISSION_BOUND_S
     after = checker.allocation(slots_of(checker)[-1])
     assert after.slot > interrupted_slots[0] + 2
@@ -164,23 +164,23 @@
         leader = leader_of(cluster).name
         follower = next(name for name in cluster.nodes if name != leader)
         if fault == "outage":
-            await cluster.outage(3 * SLOT_S)
+            await cluster.store_outage(3 * SLOT_S)
         elif fault == "slow":
-            cluster.state_delay = 0.4
+            cluster.store_delay_s = 0.4
             await asyncio.sleep(3 * SLOT_S)
-            cluster.state_delay = 0.0
+            cluster.store_delay_s = 0.0
         elif fault == "peers":
-            cluster.cuts.append(("peers", "all", cluster.now() + 4 * SLOT_S))
+            cluster.network_faults.append(("peers", "all", cluster.now() + 4 * SLOT_S))
             await asyncio.sleep(4 * SLOT_S)
         else:
-            await cluster.refuse(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
+            await cluster.refuse_store_access(leader if fault == "refused_leader" else follower, 3 * SLOT_S)
         begin = cluster.now() + FAILOVER_S
         await asyncio.sleep(60.0)
         return cluster, checker, begin
 
     cluster, checker, begin = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert max(checker.admission_waits_s("wk-9", begin)) <= ADMISSION_BOUND_S
 
 
@@ -220,7 +220,7 @@
             sim.node.admission.grants._remaining.clear()
             sim.node.admission.grants.incarnation = -1
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
-        polls = [(await cluster.ask("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
+        polls = [(await cluster.request("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
         new_job = cluster.job(INTERACTIVE + 1, shelfmark="look")
         asked = cluster.spawn(submit(cluster, checker, new_job))
         await asyncio.sleep(2.0)
@@ -281,7 +281,7 @@
 
     cluster, checker, leader = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert checker.abandoned == set()
     assert max(checker.admission_waits_s("wk-9")) <= ADMISSION_BOUND_S + FAILOVER_S
     assert checker.without_grant_reference > 0
@@ -295,7 +295,7 @@
         spec = cluster.job(INTERACTIVE, shelfmark="look")
         await submit(cluster, checker, spec)
         node = cluster.nodes["n0"].node
-        records = [entry for entry, *_ in cluster.state.data.values()]
+        records = [entry for entry, *_ in cluster.store.data.values()]
         return checker, node.peers.heartbeat(), records
 
     checker, heartbeat, records = virtual_time.run(main())
@@ -308,7 +308,7 @@
 async def run_history(seed, for_s=36.0, gap=5.0, admission=ADMISSION):
     """Run an overload with random faults, clocks at the limits of their offset, and paused controllers."""
     cluster, checker = overloaded_cluster(
-        seed, admission, machines=2, capacity=(2, 1), freezes=True, late=0.02, lost=0.03
+        seed, admission, machines=2, capacity=(2, 1), freezes=True, late_request_share=0.02, lost_answer_share=0.03
     )
     for name, offset in zip(cluster.nodes, (0.005, -0.005, 0.0), strict=True):
         cluster.clock_offset[name] = offset
@@ -316,7 +316,7 @@
     await asyncio.sleep(8.0)
     start_overload(cluster, checker, rate=12.0, for_s=for_s)
     cluster.disrupted_until = 8.0 + for_s + 60.0
-    cluster.spawn(cluster.faults(8.0 + for_s, gap))
+    cluster.spawn(cluster.inject_faults(8.0 + for_s, gap))
     await asyncio.sleep(for_s)
     return cluster, checker
 
@@ -327,7 +327,7 @@
     for seed in range(first_seed, first_seed + 10):
         cluster, checker = virtual_time.run(run_history(seed))
         assert checker.verify() == [], seed
-        assert cluster.checker.broken == [], seed
+        assert cluster.checker.violations == [], seed
         assert len(checker.accepted_at) > 0, seed
 
 
@@ -461,13 +461,13 @@
         await cluster.crash([leader_of(cluster).name], 2.0)
         await asyncio.sleep(6 * SLOT_S)
         remaining_slots = {
-            keys.allocation_slot(key)[0] for key in cluster.state.data if key.startswith(keys.ALLOCATION)
+            keys.allocation_slot(key)[0] for key in cluster.store.data if key.startswith(keys.ALLOCATION)
         }
         return checker, remaining_slots, cluster
 
     checker, remaining_slots, cluster = virtual_time.run(main())
     assert checker.verify() == []
-    assert cluster.state.oversized == 0
+    assert cluster.store.oversized_commits == 0
     assert any(keys.allocation_slot(key)[1] > 0 for key in checker.pages)  # some allocation had several pages
     assert len(remaining_slots) <= 3
     assert min(remaining_slots) >= max(slots_of(checker)) - 2
--- a/tests/test_cancellation_across_outage.py
+++ b/tests/test_cancellation_across_outage.py
@@ -5,7 +5,7 @@
 import pytest
 
 from standins import virtual_time
-from standins.scenarios import others, settled_cluster
+from standins.scenarios import cluster_with_running_jobs, followers
 
 # (additional fault during the outage; whether the tasks of jobs that are not cancelled must survive it)
 FAULTS = [
@@ -23,17 +23,17 @@
 
 async def outage_after_refusal(seed, fault, pause=0.3):
     """Refuse the leader alone, cancel a job at another node, then begin an outage for all controllers."""
-    cluster, leader = await settled_cluster(seed)
-    confirming, third = others(cluster, leader)
+    cluster, leader = await cluster_with_running_jobs(seed)
+    confirming, third = followers(cluster, leader)
     if fault == "workers reach the leader only":
-        cluster.cuts += [("workers", name, cluster.now() + 1e6) for name in (confirming, third)]
+        cluster.network_faults += [("workers", name, cluster.now() + 1e6) for name in (confirming, third)]
         await asyncio.sleep(15.0)
-    ((machine, _),) = cluster.checker.present[("wk-000000", 0)]
+    ((machine, _),) = cluster.checker.placements[("wk-000000", 0)]
     cancel_s = cluster.limits["cancel_s"]
-    cluster.spawn(cluster.refuse(leader, 14.0))
+    cluster.spawn(cluster.refuse_store_access(leader, 14.0))
     await asyncio.sleep(1.5)
     if not pause:
-        cluster.spawn(cluster.refuse(third, 1.0))  # no other node can receive the cancellation
+        cluster.spawn(cluster.refuse_store_access(third, 1.0))  # no other node can receive the cancellation
         await asyncio.sleep(0.5)
     confirmed = await cluster.cancel("wk-000000", confirming)
     in_leader_replica = cluster.nodes[leader].node.replica.get("p/c/wk-000000") is not None
@@ -44,11 +44,11 @@
     elif fault == "confirming node pauses":
         cluster.nodes[confirming].frozen_until = cluster.now() + cancel_s * 1.5
     elif fault == "confirming node loses its peers":
-        cluster.cuts.append(("peers", confirming, cluster.now() + cancel_s * 1.5))
+        cluster.network_faults.append(("peers", confirming, cluster.now() + cancel_s * 1.5))
     elif fault == "machine hangs":
         cluster.workers[machine].hung_until = cluster.now() + cancel_s * 3
     await asyncio.sleep(pause)
-    cluster.spawn(cluster.outage(cancel_s * 1.4))
+    cluster.spawn(cluster.store_outage(cancel_s * 1.4))
     if fault == "all restart":
         await asyncio.sleep(10 * pause)
         await cluster.crash(list(cluster.nodes), 1.0)
@@ -57,11 +57,11 @@
         await cluster.crash([leader], 1.0)
     other_jobs = {
         job
-        for (job, _), places in cluster.checker.present.items()
+        for (job, _), places in cluster.checker.placements.items()
         if job != "wk-000000" and (fault != "machine hangs" or machine not in dict(places))
     }
     await asyncio.sleep(cancel_s)
-    survived = other_jobs <= {job for (job, _), places in cluster.checker.present.items() if places}
+    survived = other_jobs <= {job for (job, _), places in cluster.checker.placements.items() if places}
     still_leading = cluster.nodes[leader].node.leadership.leading
     starts = cluster.checker.starts
     await asyncio.sleep(cancel_s)
@@ -80,8 +80,8 @@
     )
     assert confirmed  # by another controller
     assert not in_leader_replica
-    assert cluster.checker.broken == []
-    assert not cluster.checker.present[("wk-000000", 0)]
+    assert cluster.checker.violations == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
     if tasks_survive:
         assert still_leading
         assert survived
@@ -92,20 +92,20 @@
     """The store refuses the leader right after its commit, so that only its cancellation log has the cancellation."""
 
     async def main():
-        cluster, leader = await settled_cluster(202)
-        sim, handle = cluster.nodes[leader], cluster.state.handle
+        cluster, leader = await cluster_with_running_jobs(202)
+        sim, handle = cluster.nodes[leader], cluster.store.handle
 
         async def refuse_after_commit(method, path, body):
             if path == "/commit" and b"p/c/wk-000000" in body:
-                sim.refused = True
+                sim.store_refused = True
             return await handle(method, path, body)
 
-        cluster.state.handle = refuse_after_commit
+        cluster.store.handle = refuse_after_commit
         confirmed = await cluster.cancel("wk-000000", leader)
-        cluster.state.handle = handle
+        cluster.store.handle = handle
         in_replica = sim.node.replica.get("p/c/wk-000000") is not None
-        await cluster.outage(cluster.limits["cancel_s"] * 1.4)
-        sim.refused = False
+        await cluster.store_outage(cluster.limits["cancel_s"] * 1.4)
+        sim.store_refused = False
         still_leading = sim.node.leadership.leading
         await asyncio.sleep(20.0)
         return cluster, confirmed, in_replica, still_leading
@@ -114,6 +114,6 @@
     assert confirmed
     assert not in_replica
     assert still_leading
-    assert cluster.checker.broken == []
-    assert not cluster.checker.present[("wk-000000", 0)]
+    assert cluster.checker.violations == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
     assert cluster.checker.starts == 4
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,16 +15,16 @@
 
 async def cut_off_workers(seed, cut_share, machines=12):
     """Make the links of a share of the workers to the leader hang; returns the time of each step of the failover."""
-    cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, limit=24.0)
+    cluster = SimulatedCluster(seed, machines=machines, capacity=(machines, 3), guarantee=8.0, quota=24.0)
     for number in range(6):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, volumes=2)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after_s=1e9))
     await asyncio.sleep(25.0)
     old_leader = await cluster.wait_for_leader()
     workers = sorted(cluster.workers.values(), key=lambda worker: worker.name)
     cut_workers = workers[: round(len(workers) * cut_share)]
     cut_at = cluster.now()
-    cluster.cuts += [("link", (worker.name, old_leader), cut_at + 40.0) for worker in cut_workers]
+    cluster.network_faults += [("worker_link", (worker.name, old_leader), cut_at + 40.0) for worker in cut_workers]
     incarnations = {worker.name: worker.incarnation for worker in workers}
     steps = {}
     terms = []
@@ -38,7 +38,7 @@
                 steps.setdefault("leading", cluster.now() - cut_at)
                 if node.leader_term.ready:
                     steps.setdefault("loaded", cluster.now() - cut_at)
-        if all(worker.sent_ok > cut_at for worker in workers):
+        if all(worker.lease_renewed_at > cut_at for worker in workers):
             steps.setdefault("renewed", cluster.now() - cut_at)
         terms = [sim.node.leadership.highest_term for sim in cluster.nodes.values()]
     expired_workers = [worker.name for worker in workers if worker.incarnation != incarnations[worker.name]]
@@ -57,7 +57,7 @@
     assert steps["leading"] <= LEADING_SHARE * lease_s
     assert steps["loaded"] <= LOADED_SHARE * lease_s
     assert steps["renewed"] <= RENEWED_SHARE * lease_s
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("seed", range(310, 313))
@@ -67,4 +67,4 @@
     assert leaders == [old_leader]
     assert term == 1
     assert steps.get("leading") is None
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -40,10 +40,10 @@
 
 async def quiet_cluster():
     """Start a cluster whose only tasks are the replicas of services on twenty machines."""
-    cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, limit=16.0, capacity=(MACHINES, 0))
+    cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, quota=16.0, capacity=(MACHINES, 0))
     for number in range(6):
         spec = cluster.job(number, format="service", volumes=5, precedence="prod", loanS=0.0)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after_s=1e9))
     await asyncio.sleep(SETTLED_S)
     return cluster
 
@@ -53,13 +53,13 @@
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     scheduler = leader.leader_term.scheduler
     guaranteed, requests = scheduler.queue.guaranteed, []
-    handle = cluster.state.handle
+    handle = cluster.store.handle
 
     async def counted(method, path, body):
         requests.append((method, path))
         return await handle(method, path, body)
 
-    cluster.state.handle = counted
+    cluster.store.handle = counted
     evaluations = leader.leader_term.evaluations.finished_count
     await asyncio.sleep(QUIET_S)
     assert leader.leader_term.evaluations.finished_count > evaluations
@@ -78,7 +78,7 @@
     cluster = await quiet_cluster()
     leader = cluster.nodes[await cluster.wait_for_leader()].node
     worker = next(candidate for candidate in cluster.workers.values() if len(candidate.tasks) == 2)
-    body = worker.report()
+    body = worker.encode_heartbeat()
     answer, calls = count_calls(leader.handle, Request("POST", "/checkin", body))
     assert isinstance(answer, Response)
     assert answer.status == 200  # answered at once, since nothing had changed
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -27,7 +27,7 @@
     cluster = SimulatedCluster(seed, machines=machines)
     for number in range(jobs):
         spec = cluster.job(number, format="service", precedence="prod", loanS=0.0, **fields)
-        cluster.spawn(cluster.user(spec, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(spec, cancel_after_s=1e9))
     await asyncio.sleep(20.0)
     return cluster, leaders(cluster)[0]
 
@@ -37,7 +37,7 @@
         cluster, old_leader = await settled_cluster(60)
         sim = cluster.nodes[old_leader]
         leader_revision = sim.node.leadership.leader_revision
-        cluster.spawn(cluster.refuse(old_leader, 30.0))
+        cluster.spawn(cluster.refuse_store_access(old_leader, 30.0))
         max_leaders, changed_at = 0, None
         for step in range(600):
             await asyncio.sleep(0.05)
@@ -54,7 +54,7 @@
     assert changed_at < cluster.limits["lease_s"] / 2
     assert isinstance(late_commit, TransactionConflict)
     assert late_commit.conflicting_keys == ("p/lead",)
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_restarted_leader_takes_over_its_own_key_at_once():
@@ -68,36 +68,36 @@
     cluster, old_leader, current_leaders, new_term, term = virtual_time.run(main())
     assert current_leaders == [old_leader]
     assert new_term == term + 1
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_cancellation_reaches_tasks_though_the_leader_is_refused():
     async def main():
         cluster, old_leader = await settled_cluster(62)
-        cluster.spawn(cluster.refuse(old_leader, 30.0))
+        cluster.spawn(cluster.refuse_store_access(old_leader, 30.0))
         follower = next(name for name in cluster.nodes if name != old_leader)
-        cluster.checker.cancel_asked.add("wk-000000")
+        cluster.checker.cancel_requested.add("wk-000000")
         asked = cluster.now()
-        status, answer = await cluster.ask("POST", "/v2/runs/wk-000000/withdraw", node=follower)
-        cluster.checker.answered("wk-000000", asked, status, answer)
+        status, answer = await cluster.request("POST", "/v2/runs/wk-000000/withdraw", node=follower)
+        cluster.checker.on_answer("wk-000000", asked, status, answer)
         await asyncio.sleep(cluster.limits["cancel_s"])
         return cluster, status, answer["status"]
 
     cluster, status, answered_status = virtual_time.run(main())
     assert (status, answered_status) == (200, "cancelled")
-    assert not cluster.checker.present[("wk-000000", 0)]
-    assert cluster.checker.broken == []
+    assert not cluster.checker.placements[("wk-000000", 0)]
+    assert cluster.checker.violations == []
 
 
 def test_done_and_cancelled_exclude_each_other():
     async def main():
         cluster = SimulatedCluster(63)
-        cluster.spawn(cluster.user(cluster.job(1), run_s=1.0))
+        cluster.spawn(cluster.simulate_user(cluster.job(1), run_s=1.0))
         while cluster.done_users < 1:
             await asyncio.sleep(0.1)
-        status, answer = await cluster.ask("POST", "/v2/runs/wk-000001/withdraw")
-        resubmitted = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.job(1)), 5.0)
-        return status, answer["status"], resubmitted[0], resubmitted[1]["status"], sorted(cluster.state.data)
+        status, answer = await cluster.request("POST", "/v2/runs/wk-000001/withdraw")
+        resubmitted = await cluster.request("POST", "/v2/runs", cbor2.dumps(cluster.job(1)), 5.0)
+        return status, answer["status"], resubmitted[0], resubmitted[1]["status"], sorted(cluster.store.data)
 
     status, answered_status, resubmission_status, resubmitted_job_status, stored_keys = virtual_time.run(main())
     assert (status, answered_status, resubmission_status, resubmitted_job_status) == (200, "done", 200, "done")
@@ -109,12 +109,12 @@
     async def main():
         cluster, old_leader = await settled_cluster(64)
         lagging = next(name for name in cluster.nodes if name != old_leader)
-        cluster.spawn(cluster.refuse(lagging, 20.0))
+        cluster.spawn(cluster.refuse_store_access(lagging, 20.0))
         await asyncio.sleep(0.5)
-        status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(cluster.job(9)), 5.0, node=old_leader)
-        stale = await cluster.ask("GET", "/v2/runs/wk-000009", node=lagging)
-        fresh = await cluster.ask("GET", "/v2/runs/wk-000009", node=old_leader)
-        unknown = await cluster.ask("GET", "/v2/runs/wk-777777", node=old_leader)
+        status, _ = await cluster.request("POST", "/v2/runs", cbor2.dumps(cluster.job(9)), 5.0, node=old_leader)
+        stale = await cluster.request("GET", "/v2/runs/wk-000009", node=lagging)
+        fresh = await cluster.request("GET", "/v2/runs/wk-000009", node=old_leader)
+        unknown = await cluster.request("GET", "/v2/runs/wk-777777", node=old_leader)
         return status, stale[0], fresh[0], unknown[0]
 
     assert virtual_time.run(main()) == (201, 503, 200, 404)
@@ -125,11 +125,11 @@
 
     async def main():
         cluster, _ = await settled_cluster(65, jobs=3)
-        unreachable = next(iter(dict(cluster.checker.present[("wk-000000", 0)])))
-        cluster.cuts.append(("unreachable_inbound", unreachable, cluster.now() + 300.0))
+        unreachable = next(iter(dict(cluster.checker.placements[("wk-000000", 0)])))
+        cluster.network_faults.append(("unreachable_inbound", unreachable, cluster.now() + 300.0))
         cluster.cloud.outage = True  # deletion fails at first: only the expiry of the lease releases the tasks
         await asyncio.sleep(2.5 * cluster.limits["lease_s"])
-        moved = dict(cluster.checker.present[("wk-000000", 0)])
+        moved = dict(cluster.checker.placements[("wk-000000", 0)])
         cluster.cloud.outage = False
         await asyncio.sleep(30.0)
         return cluster, unreachable, moved
@@ -138,7 +138,7 @@
     assert moved
     assert unreachable not in moved
     assert unreachable not in cluster.workers
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_nothing_is_placed_before_a_heartbeat_carries_the_token():
@@ -147,12 +147,15 @@
     async def main():
         cluster, leader = await settled_cluster(66)
         workers = cluster.workers.copy()
-        ghost_heartbeat = cbor2.loads(next(iter(workers.values())).report()) | {"stack": "host-999999", "volumes": []}
+        ghost_heartbeat = cbor2.loads(next(iter(workers.values())).encode_heartbeat()) | {
+            "stack": "host-999999",
+            "volumes": [],
+        }
         node = cluster.nodes[leader].node
         answer = node.handle(Request("POST", "/checkin", cbor2.dumps(ghost_heartbeat | {"warrant": 0})))
         for number in range(20, 26):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
-            cluster.spawn(cluster.user(spec, cancel_after=1e9))
+            cluster.spawn(cluster.simulate_user(spec, cancel_after_s=1e9))
         await asyncio.sleep(8.0)
         placed = node.leader_term.job_table.attempts_by_machine.get("host-999999")
         await asyncio.sleep(30.0)
@@ -167,7 +170,7 @@
 
     cluster, first_status, placed, late_status, in_inventory = virtual_time.run(main())
     assert (first_status, placed, late_status, in_inventory) == (200, None, 503, False)
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_an_isolated_leader_steps_down_and_redirects_nobody_to_itself():
@@ -180,7 +183,9 @@
         redirect_targets, health_statuses = set(), set()
         for _ in range(300):
             await asyncio.sleep(0.1)
-            body = cbor2.dumps({**cbor2.loads(next(iter(cluster.workers.values())).report()), "stack": "host-888888"})
+            body = cbor2.dumps(
+                {**cbor2.loads(next(iter(cluster.workers.values())).encode_heartbeat()), "stack": "host-888888"}
+            )
             answer = node.handle(Request("POST", "/checkin", body))
             if answer.status == 200:
                 last_200_at = cluster.now()
@@ -198,7 +203,7 @@
     assert current_leaders
     assert current_leaders != [old_leader]
     assert cluster.checker.starts == starts  # its workers found the new leader before their leases expired
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_leader_that_its_workers_no_longer_reach_resigns():
@@ -208,7 +213,7 @@
         cluster, old_leader = await settled_cluster(69, jobs=12, machines=24, cards=2.0)
         starts = cluster.checker.starts
         before = set(cluster.workers)
-        cluster.cuts.append(("workers", old_leader, cluster.now() + 60.0))
+        cluster.network_faults.append(("workers", old_leader, cluster.now() + 60.0))
         await asyncio.sleep(9.0)
         current_leaders = leaders(cluster)
         await asyncio.sleep(8.0)
@@ -223,14 +228,14 @@
     assert current_leaders != [old_leader]
     assert later == current_leaders
     assert cluster.checker.starts <= starts + 6  # allows for a few workers that were redirected to the old leader
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_restarts_within_a_fraction_of_a_second_also_during_campaigns():
     async def main():
         cluster, _ = await settled_cluster(68, jobs=4)
         starts = cluster.checker.starts
-        await cluster.elections(25)
+        await cluster.force_elections(25)
         await asyncio.sleep(5.0)
         return cluster, starts, leaders(cluster)
 
@@ -238,7 +243,7 @@
     # over nineteen terms in twelve seconds, a worker may contact crashed controllers until its lease expires
     assert len(current_leaders) == 1
     assert cluster.checker.starts <= starts + 2
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_services_preempt_unlaunched_attempts_at_once():
@@ -248,25 +253,25 @@
         cluster = SimulatedCluster(72, machines=2, zones=("a",), capacity=(0, 0))
         await asyncio.sleep(5.0)
         gang = cluster.job(1, format="group", volumes=2, cards=2.0, cores=14.0, ramGb=50.0, precedence="high")
-        cluster.spawn(cluster.user(gang, run_s=60.0))
+        cluster.spawn(cluster.simulate_user(gang, run_s=60.0))
         await asyncio.sleep(0.25)
         service = cluster.job(2, format="service", volumes=2, precedence="prod", loanS=0.0, imageGb=0.1)
-        cluster.spawn(cluster.user(service, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(service, cancel_after_s=1e9))
         submitted_at = cluster.now()
-        while ("wk-000002", 1) not in cluster.checker.present and cluster.now() < submitted_at + 30.0:
+        while ("wk-000002", 1) not in cluster.checker.placements and cluster.now() < submitted_at + 30.0:
             await asyncio.sleep(0.1)
         return cluster, cluster.now() - submitted_at
 
     cluster, took_s = virtual_time.run(main())
-    assert ("wk-000001", 0) not in cluster.checker.present
-    assert cluster.checker.broken == []
+    assert ("wk-000001", 0) not in cluster.checker.placements
+    assert cluster.checker.violations == []
     assert took_s < 4.0  # a heartbeat and the image download, without a stop before them
 
 
 async def pause_leader(seed, for_s):
     """Pause the leader's process for ``for_s`` while heartbeats and a query wait in its sockets."""
     cluster, old_leader = await settled_cluster(seed, jobs=6, machines=12, cards=2.0)
-    busy_machines = {name for places in cluster.checker.present.values() for name, _ in places}
+    busy_machines = {name for places in cluster.checker.placements.values() for name, _ in places}
     starts = cluster.checker.starts
     cluster.nodes[old_leader].frozen_until = cluster.now() + for_s
     query = cluster.spawn(cluster.nodes[old_leader].answer(Request("GET", "/v2/runs/wk-000001", b"")))
@@ -284,7 +289,7 @@
         pause_leader(75, for_s)
     )
     assert len(later) == 1
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert for_s < 5.0 or (len(during_pause) == 1 and during_pause != [old_leader])
     assert (lost_machines, new_starts) == (0, 0)
     assert answer.status in (200, 429, 503)
@@ -304,26 +309,26 @@
     """Cut-off machines were deleted when their leases expired, just before they returned with cached images."""
 
     async def main():
-        cluster = SimulatedCluster(76, machines=24, zones=("a",), limit=60.0, capacity=(24, 0))
+        cluster = SimulatedCluster(76, machines=24, zones=("a",), quota=60.0, capacity=(24, 0))
         for number in range(24):
             spec = cluster.job(number, volumes=2, cores=7.0, ramGb=30.0)
-            cluster.spawn(cluster.user(spec, run_s=60.0))
+            cluster.spawn(cluster.simulate_user(spec, run_s=60.0))
         service = cluster.job(30, format="service", volumes=4, precedence="prod", loanS=0.0)
-        cluster.spawn(cluster.user(service, cancel_after=1e9))
+        cluster.spawn(cluster.simulate_user(service, cancel_after_s=1e9))
         await asyncio.sleep(20.0)
-        machine_by_task = {key: name for key, places in cluster.checker.present.items() for name, _ in places}
+        machine_by_task = {key: name for key, places in cluster.checker.placements.items() for name, _ in places}
         with_service_tasks = {name for (job, _), name in machine_by_task.items() if job == "wk-000030"}
         cut = sorted(set(cluster.workers) - with_service_tasks)[:8] + sorted(with_service_tasks)[:1]
         for name in cut:
-            cluster.cuts.append(("machine", name, cluster.now() + 18.0))
+            cluster.network_faults.append(("machine", name, cluster.now() + 18.0))
         before = set(cluster.workers)
         await asyncio.sleep(14.0)
-        up = sum(bool(cluster.checker.present.get(("wk-000030", index))) for index in range(4))
+        up = sum(bool(cluster.checker.placements.get(("wk-000030", index))) for index in range(4))
         await asyncio.sleep(30.0)
         return cluster, before - set(cluster.workers), set(cut), with_service_tasks, up
 
     cluster, lost, cut, with_service_tasks, up = virtual_time.run(main())
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
     assert not lost & (cut - with_service_tasks)  # all cut-off machines without service tasks returned
     assert lost & with_service_tasks  # the machine with a service task was deleted
     assert up == 4  # and its task runs elsewhere
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,8 +19,8 @@
 from passrock.settings import OperatorSettings, SettingsError, parse_settings, read_settings, resource_warnings
 from passrock.settings.checks import MIN_CPU_CORES, MIN_MEMORY_MB
 from passrock.settings.operator_files import RANGES
-from standins.deployment import node_table
-from standins.loopback_cluster import toml
+from standins.deployment import platform_settings
+from standins.loopback_cluster import encode_toml
 
 ROOT = Path(__file__).parent.parent
 UNNEEDED_MODULES = {
@@ -81,7 +81,7 @@
     ],
 )
 def test_faults_name_the_setting(path, value):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     set_value(table, path, value)
     faults = []
     parse_settings(table, OperatorSettings(), faults)
@@ -90,7 +90,7 @@
 
 
 def test_all_faults_are_reported_with_paths_in_reading_order(tmp_path):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     set_value(table, "node", "")
     set_value(table, "client_listen", "10.0.0.1")
     set_value(table, "outside", None)
@@ -102,7 +102,7 @@
     set_value(table, "deployment.state", {"rps": 0, "write_rps": "40", "value_kb": 0.5, "txn_ops": 3})
     set_value(table, "deployment.resources.fd_limit", 31)
     path, first, second = tmp_path / "node.toml", tmp_path / "first.hcl", tmp_path / "second.hcl"
-    path.write_text(toml(table))
+    path.write_text(encode_toml(table))
     first.write_text('round_s = 0\nspeed = 3\nsilent_ratio = "x"\nadmission {\n slot_ratio = 0.5\n}\n')
     second.write_text("alpha_extra = 0.2\nround_s = 30\nadmission {}\n")
     with pytest.raises(SettingsError) as caught:
@@ -135,17 +135,17 @@
 
 
 def test_check_config(tmp_path, capsys):
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     valid, invalid = tmp_path / "good.toml", tmp_path / "bad.toml"
-    valid.write_text(toml(table) + "\n[news]\nunknown = 1\n")
+    valid.write_text(encode_toml(table) + "\n[news]\nunknown = 1\n")
     set_value(table, "node", 3)
     set_value(table, "deployment.workers.lease_s", -1.0)
-    invalid.write_text(toml(table))
+    invalid.write_text(encode_toml(table))
     assert main(["check-config", str(valid)]) == 0
     assert capsys.readouterr().err == ""
-    small = node_table(0, 3, ("a", "b", "c"))
+    small = platform_settings(0, 3, ("a", "b", "c"))
     set_value(small, "deployment.resources.cpu", 0.01)
-    valid.write_text(toml(small))
+    valid.write_text(encode_toml(small))
     assert main(["check-config", str(valid)]) == 0  # small resources are a warning, not a fault
     assert "warning: deployment.resources.cpu" in capsys.readouterr().err
     assert main(["check-config", str(invalid)]) == 2
@@ -161,7 +161,7 @@
 
 def test_operator_settings(tmp_path):
     table, path = tmp_path / "node.toml", tmp_path / "passrock.hcl"
-    table.write_text(toml(node_table(0, 3, ("a", "b", "c"))))
+    table.write_text(encode_toml(platform_settings(0, 3, ("a", "b", "c"))))
     path.write_text("round_s = 30\nalpha_extra = 0.2\n")
     assert read_settings(table, [path]).operator.round_s == 30
     assert read_settings(table, [ROOT / "deploy" / "passrock.hcl"]).operator == OperatorSettings()
@@ -236,7 +236,7 @@
 
 
 def full_table():
-    table = node_table(0, 3, ("a", "b", "c"))
+    table = platform_settings(0, 3, ("a", "b", "c"))
     table["deployment"]["objectives"] = [{"kind": "wait", "class": "c", "within_s": 60.0, "share": 0.9}]
     return table
 
--- a/tests/test_user_latency.py
+++ b/tests/test_user_latency.py
@@ -19,14 +19,14 @@
     started_at = cluster.now()
     spec = cluster.job(number)
     cluster.specs[spec["ref"]], cluster.run_times[spec["ref"]] = spec, 5.0
-    status, _ = await cluster.ask("POST", "/v2/runs", cbor2.dumps(spec), 5.0, node=node)
+    status, _ = await cluster.request("POST", "/v2/runs", cbor2.dumps(spec), 5.0, node=node)
     return status, cluster.now() - started_at
 
 
 async def query_repeatedly(cluster, node, job, answers):
     """Query a job ten times a second, as one user."""
     while True:
-        status, _ = await cluster.ask("GET", f"/v2/runs/{job}", node=node)
+        status, _ = await cluster.request("GET", f"/v2/runs/{job}", node=node)
         answers.append(status)
         await asyncio.sleep(0.1)
 
@@ -83,12 +83,12 @@
     """Guards against transactions of the leader so large that each uses up its write rate for a second ahead."""
 
     async def main():
-        cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, limit=100.0)
+        cluster = SimulatedCluster(402, machines=30, capacity=(30, 3), guarantee=50.0, quota=100.0)
         leader = await cluster.wait_for_leader()
         body = {"cores": 0.5, "cards": 0.0, "ramGb": 0.5, "edition": "img-0"}
         for number in range(100, 400):
             spec = cluster.job(number, **body)
-            cluster.spawn(cluster.user(spec, run_s=3.0 + number % 7))
+            cluster.spawn(cluster.simulate_user(spec, run_s=3.0 + number % 7))
         await asyncio.sleep(12.0)
         results = []
         for number in range(1, 13):
@@ -103,4 +103,4 @@
     assert [status for status, _ in results] == [201] * 12
     assert max(latency_s for _, latency_s in results) < MAX_LATENCY_S
     assert cluster.done_users == 300  # the leader's writes were delayed but completed
-    assert cluster.checker.broken == []
+    assert cluster.checker.violations == []
