--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -150,7 +150,7 @@
             flows,
         )
 
-    def outgoing(self) -> bytes:
+    def encode_message(self) -> bytes:
         """Return the encoded demand report for the peers, which is renewed at intervals."""
         now = monotonic_time()
         if (
@@ -161,7 +161,7 @@
             self._message = encode_demand(self.demand_report())
         return self._message
 
-    def received(self, node: str, data: bytes) -> None:
+    def receive_message(self, node: str, data: bytes) -> None:
         """Store a peer's demand report; a malformed one is logged and ignored."""
         try:
             report = decode_demand(node, data)
--- a/src/passrock/admission/controller/dispatch.py
+++ b/src/passrock/admission/controller/dispatch.py
@@ -90,7 +90,7 @@
         not_running = []
         for attempt in self._unconfirmed_attempts:
             job = attempt.job
-            if attempt.running_since is not None or job.is_done(attempt.index):
+            if attempt.running_since is not None or job.is_completed(attempt.index):
                 flow = flow_of(job)
                 self.start_tracker.record_start(flow, wall_clock_now)
                 self.start_counts[flow] = self.start_counts.get(flow, 0) + 1
@@ -110,12 +110,13 @@
 
     def _obstacle(self, scheduler: Scheduler, job: Job, now: float) -> Obstacle:
         spec = job.spec
-        if job.retry_not_before > now or job.is_suspect:
+        if job.retry_not_before > now or job.is_presumed_faulty:
             return Obstacle.FAILING
-        if not scheduler.quotas.allows(job, spec.tasks if spec.kind is JobKind.GANG else 1):
+        if not scheduler.quotas.allows(job, spec.task_count if spec.kind is JobKind.GANG else 1):
             return Obstacle.TEAM_LIMIT
         if not any(
-            spec.allows(machine.type.name, machine.zone, spot=machine.spot) and spec.resources.fits(machine.type.size)
+            spec.allows(machine.type.name, machine.zone, spot=machine.spot)
+            and spec.resources.fits(machine.type.capacity)
             for machine in scheduler.capacity.schedulable
         ):
             return Obstacle.NO_MACHINE
--- a/src/passrock/admission/core/rate_pacer.py
+++ b/src/passrock/admission/core/rate_pacer.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 MIN_SHARE = 0.1
-SHRINK_FACTOR = 0.6
-GROWTH_FACTOR = 1.25
+SHRINK_RATIO = 0.6
+GROWTH_RATIO = 1.25
 GROWTH_STEP = 0.02  # added to each growth, so that the share recovers quickly from MIN_SHARE
 
 
@@ -23,6 +23,6 @@
     def record_delay(self, delay_s: float) -> None:
         """Adjust the share to the delay of the leader's pending record updates at the time a slot is decided."""
         if delay_s > 2 * self.target_s:
-            self.share = max(MIN_SHARE, self.share * SHRINK_FACTOR)
+            self.share = max(MIN_SHARE, self.share * SHRINK_RATIO)
         elif delay_s <= self.target_s:
-            self.share = min(1.0, self.share * GROWTH_FACTOR + GROWTH_STEP)
+            self.share = min(1.0, self.share * GROWTH_RATIO + GROWTH_STEP)
--- a/src/passrock/controller/autoscaler.py
+++ b/src/passrock/controller/autoscaler.py
@@ -76,7 +76,7 @@
         if shortfall > 0:
             offering = self.catalog.buffer_offering(gpus.available, now)
             if offering is not None and offering not in machine_counts:
-                gpus_per_machine = self.catalog.types[offering.machine_type].size.gpus
+                gpus_per_machine = self.catalog.types[offering.machine_type].capacity.gpus
                 machine_counts[offering] = math.ceil(shortfall / gpus_per_machine)
         for offering, count in machine_counts.items():
             self.provisioner.provision(offering, count)
@@ -89,9 +89,9 @@
             for name, machine_type in self.catalog.types.items()
         }
         for machine in plan_scale_in(self.inventory, self.job_table, idle_timeout_s, now):
-            gpus.available[machine.zone] -= machine.type.size.gpus
+            gpus.available[machine.zone] -= machine.type.capacity.gpus
             if not machine.spot and zone_loss_shortfall(gpus.production, gpus.available, self.settings.zones) > 0:
-                gpus.available[machine.zone] += machine.type.size.gpus  # kept for the buffer
+                gpus.available[machine.zone] += machine.type.capacity.gpus  # kept for the buffer
                 continue
             info("machine_scaled_in", machine=machine.name)
             self.provisioner.deprovision(machine)
@@ -113,7 +113,7 @@
                 continue
             production = self._production_gpus(machine)
             gpus.production[machine.zone] += production * self.settings.operator.buffer_share
-            gpus.available[machine.zone] += machine.type.size.gpus - production
+            gpus.available[machine.zone] += machine.type.capacity.gpus - production
         return gpus
 
     def _production_gpus(self, machine: Machine) -> float:
--- a/src/passrock/controller/background_tasks.py
+++ b/src/passrock/controller/background_tasks.py
@@ -53,7 +53,7 @@
 
 def _check_socket_limit(settings: Settings, catalog: MachineCatalog, max_sockets: int) -> None:
     """Log an error if the socket limit is too low for the number of machines that the guarantees need."""
-    largest = max((machine_type.size.gpus for machine_type in catalog.types.values()), default=0.0)
+    largest = max((machine_type.capacity.gpus for machine_type in catalog.types.values()), default=0.0)
     guaranteed = sum(team.guaranteed_gpus for team in settings.teams.values())
     if largest > 0 and guaranteed / largest > max_sockets:
         machines = math.ceil(guaranteed / largest)
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -126,7 +126,7 @@
 
     def _bind(self) -> BindingResult:
         machine_types = self.catalog.types.values()
-        gpus_per_unit = max((machine_type.size.gpus for machine_type in machine_types), default=1.0) or 1.0
+        gpus_per_unit = max((machine_type.capacity.gpus for machine_type in machine_types), default=1.0) or 1.0
         machines = [
             self._view(machine, gpus_per_unit)
             for machine in self.inventory.machines.values()
@@ -141,7 +141,7 @@
         return MachineView(
             name=machine.name,
             zone=machine.zone,
-            size=machine.type.size.gpus / gpus_per_unit,
+            size=machine.type.capacity.gpus / gpus_per_unit,
             idle=not attempts,
             teams=teams,
         )
@@ -165,11 +165,11 @@
             attempts = self.job_table.attempts_on(machine.name)
             used = sum(attempt.job.spec.resources.gpus for attempt in attempts)
             if not machine.heartbeat_received:
-                cluster_gpus.booting += machine.type.size.gpus
+                cluster_gpus.booting += machine.type.capacity.gpus
             elif not attempts:
-                cluster_gpus.idle += machine.type.size.gpus
+                cluster_gpus.idle += machine.type.capacity.gpus
             else:
-                cluster_gpus.stranded += machine.type.size.gpus - used
+                cluster_gpus.stranded += machine.type.capacity.gpus - used
             running = sum(
                 attempt.job.spec.resources.gpus for attempt in attempts if attempt.state is TaskState.RUNNING
             )
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -87,18 +87,18 @@
         cancellations by as much. If too few writes are available for the time in which a full burst accumulates,
         the full size is returned, and the transaction queues behind the requests that are already waiting.
         """
-        budget = self.store.write_bucket
+        write_bucket = self.store.write_bucket
         min_writes = WRITES_PER_FINALIZATION if self.job_table.finalizing else 1
-        reserve = min(max(MIN_SUBMISSION_WRITES, budget.burst * SUBMISSION_WRITE_SHARE), budget.burst / 2)
-        deadline = monotonic_time() + budget.burst / budget.rate
+        reserve = min(max(MIN_SUBMISSION_WRITES, write_bucket.burst * SUBMISSION_WRITE_SHARE), write_bucket.burst / 2)
+        deadline = monotonic_time() + write_bucket.burst / write_bucket.rate
         while True:
-            available = budget.available(monotonic_time()) - reserve
+            available = write_bucket.available(monotonic_time()) - reserve
             if available >= min_writes:
                 return min(self.txn_ops, int(available))
             now = monotonic_time()
             if now >= deadline:
                 return self.txn_ops
-            await asyncio.sleep(max(MIN_SLEEP_S, min((min_writes - available) / budget.rate, deadline - now)))
+            await asyncio.sleep(max(MIN_SLEEP_S, min((min_writes - available) / write_bucket.rate, deadline - now)))
 
     def build_transaction(self, limit: int) -> RecordTransaction:
         """Return the next transaction, with up to ``limit`` writes and within the size limit.
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -82,7 +82,9 @@
         if machine.acknowledged_term and not was_usable:
             self._on_machine_registered(machine)
         if result.changed or self._awaits_launch(machine):
-            return self._add_late_launches(machine, heartbeat, result.commands, self.evaluations.finished_count)
+            return self._with_newly_committed_launches(
+                machine, heartbeat, result.commands, self.evaluations.finished_count
+            )
         return result.commands
 
     def _on_machine_registered(self, machine: Machine) -> None:
@@ -96,7 +98,7 @@
             attempt.launch_sequence is None and attempt.placed_this_term for attempt in attempts.values()
         )
 
-    async def _add_late_launches(
+    async def _with_newly_committed_launches(
         self, machine: Machine, heartbeat: WorkerHeartbeat, commands: list[Command], evaluations_before: int
     ) -> list[Command] | None:
         """Return the commands and the launches that a further evaluation and its commit add before the deadline."""
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -123,7 +123,7 @@
             return None
         final = decode_record(entry.value, FinalRecord)
         self.replica.cache_final_status(job_id, final.status)
-        return JobStatus(final.status, final.tasks if final.status == DONE else 0)
+        return JobStatus(final.status, final.task_count if final.status == DONE else 0)
 
     async def _read(self, key: str) -> Entry | None:
         entry, _ = await self.store.get(key, timeout=DIRECT_READ_TIMEOUT_S)
--- a/src/passrock/controller/leader_term.py
+++ b/src/passrock/controller/leader_term.py
@@ -109,7 +109,7 @@
             on_machine_lost=self._on_machine_lost,
             on_change=self.evaluations.request,
         )
-        self.rounds = BindingRounds(
+        self.binding_rounds = BindingRounds(
             settings, store, leadership, self.job_table, self.inventory, self.catalog, self.scheduler
         )
 
@@ -138,7 +138,7 @@
             self.preemption,
             self.failure_detector,
             autoscaler,
-            self.rounds,
+            self.binding_rounds,
             self.commit_queue,
             self.evaluations,
         )
@@ -148,7 +148,7 @@
             self.cancellations,
             self.job_table,
             self.assignments,
-            self.rounds,
+            self.binding_rounds,
             self.commit_queue,
             self.evaluations,
             plan_now=self.evaluation_loop.plan_now,
@@ -161,7 +161,7 @@
             self.inventory,
             self.catalog,
             self.commit_queue,
-            self.rounds,
+            self.binding_rounds,
             self.evaluations,
         )
 
@@ -175,7 +175,7 @@
         """Cancel the background tasks and subscriptions of the term."""
         for task in self.tasks:
             task.cancel()
-        self.rounds.stop()
+        self.binding_rounds.stop()
         self.replica.unsubscribe(self.state_events.on_change)
 
     def on_cancellation(self, job_id: str, confirmed_at: float) -> None:
@@ -216,7 +216,9 @@
         await self.evaluation_loop.run()
 
     def _load_records(self) -> None:
-        load_records(self.replica, self.cancellations, self.job_table, self.inventory, self.rounds, self.commit_queue)
+        load_records(
+            self.replica, self.cancellations, self.job_table, self.inventory, self.binding_rounds, self.commit_queue
+        )
         self.replica.subscribe(self.state_events.on_change)
         self.ready = True
         info(
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -112,12 +112,12 @@
     def _set_store_rates(self, *, leading: bool) -> None:
         """Set this controller's share of the store's rates: the leader needs most, followers divide the rest."""
         share = rate_share(leading=leading, nodes=self.settings.node_count)
-        for budget, rate in (
+        for bucket, rate in (
             (self.store.request_bucket, self.settings.state_rps),
             (self.store.write_bucket, self.settings.state_write_rps),
         ):
-            budget.rate = rate * share
-            budget.burst = rate * share
+            bucket.rate = rate * share
+            bucket.burst = rate * share
 
     def _on_role_change(self) -> None:
         if self.leader_term is not None:
--- a/src/passrock/controller/process.py
+++ b/src/passrock/controller/process.py
@@ -47,7 +47,7 @@
         node.handle,
         node.max_sockets,
         idle_timeout_s=IDLE_TIMEOUT_S,
-        head_timeout_s=settings.report_s * REQUEST_TIMEOUT_HEARTBEATS,
+        request_timeout_s=settings.report_s * REQUEST_TIMEOUT_HEARTBEATS,
     )
     listening = await server.start(settings.client_listen.host, settings.client_listen.port)
     peer_listening = await node.peers.listen(settings.peer_listen)
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -11,7 +11,7 @@
 from passrock.io.store import KeyValueStoreClient
 
 COMMIT_REQUEST_SHARE = 0.2  # of a full burst of requests, reserved for commits
-MAX_READ_WAIT_S = 0.4  # for the request budget; users wait 2 s for an answer
+MAX_READ_WAIT_S = 0.4  # for a token of the request bucket; users wait 2 s for an answer
 READ_TIMEOUT_S = 1.0
 CATCH_UP_TIMEOUT_S = 0.7  # for a watch to deliver the revision that was read
 
@@ -41,10 +41,12 @@
         Reads that each reserved a request formed a queue of seconds, which delayed submissions too. So all queries
         share the scheduled read until it is sent, and at most one read waits at any time.
         """
-        requests = self.store.request_bucket
+        request_bucket = self.store.request_bucket
         return min(
             MAX_READ_WAIT_S,
-            requests.time_until_available(monotonic_time(), reserved=requests.burst * COMMIT_REQUEST_SHARE),
+            request_bucket.time_until_available(
+                monotonic_time(), reserved=request_bucket.burst * COMMIT_REQUEST_SHARE
+            ),
         )
 
     async def _read(self) -> bool:
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -20,7 +20,7 @@
     cancellations: CancellationLog,
     job_table: JobTable,
     inventory: MachineInventory,
-    rounds: BindingRounds,
+    binding_rounds: BindingRounds,
     commit_queue: CommitQueue,
 ) -> None:
     """Load the job table, the reservations and the image hints of a new term from this node's replica."""
@@ -29,7 +29,7 @@
     _load_cancellations(replica, cancellations, job_table)
     for prefix in (keys.RESERVATION, keys.RESERVATION_PAGE):
         for entry in replica.with_prefix(prefix):
-            rounds.load(entry)
+            binding_rounds.load(entry)
     for entry in replica.with_prefix(keys.IMAGE_HINTS):
         inventory.load_image_hints(decode_image_hints(entry.value))
 
--- a/src/passrock/controller/record_transaction.py
+++ b/src/passrock/controller/record_transaction.py
@@ -58,7 +58,7 @@
         status = CANCELLED if job.cancelled else DONE
         self.conditions[keys.job(job_id)] = job.page(0).mod_revision
         self.conditions[keys.final(job_id)] = 0
-        final = FinalRecord(status, job.spec.tasks)
+        final = FinalRecord(status, job.spec.task_count)
         self.writes += [Delete(keys.job(job_id)), Put(keys.final(job_id), encode_record(final))]
         if job.cancelled:
             self.writes.append(Delete(keys.cancellation(job_id)))
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -26,7 +26,7 @@
         cancellations: CancellationLog,
         job_table: JobTable,
         assignments: dict[str, str],
-        rounds: BindingRounds,
+        binding_rounds: BindingRounds,
         commit_queue: CommitQueue,
         evaluations: EvaluationSignals,
         plan_now: Callable[[], None],
@@ -35,7 +35,7 @@
         self.cancellations = cancellations
         self.job_table = job_table
         self.assignments = assignments
-        self.rounds = rounds
+        self.binding_rounds = binding_rounds
         self.commit_queue = commit_queue
         self.evaluations = evaluations
         self.plan_now = plan_now
@@ -56,7 +56,7 @@
     def _load_job(self, job_id: str, entry: Entry) -> None:
         record = decode_record(entry.value, JobRecord)
         job = self.job_table.load(record, entry.mod_revision, monotonic_time(), time_of_day())
-        self.rounds.bring_forward()
+        self.binding_rounds.bring_forward()
         if job.spec.priority is Priority.PRODUCTION:
             self.plan_now()  # a production job preempts at once, ideally before its victims are launched
         info(
@@ -64,7 +64,7 @@
             job=job_id,
             job_class=job.spec.job_class,
             kind=job.spec.kind,
-            tasks=job.spec.tasks,
+            tasks=job.spec.task_count,
             image=job.spec.image,
         )
         self.evaluations.request()
@@ -87,7 +87,7 @@
         """Release the tasks of a machine that the cloud has confirmed as deleted."""
         lost = self.job_table.record_machine_lost(name, monotonic_time())
         self.assignments.pop(name, None)
-        self.rounds.bring_forward()
+        self.binding_rounds.bring_forward()
         info("machine_lost", machine=name, tasks=lost)
         self.commit_queue.commit_requested.set()
         self.evaluations.request()
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -132,8 +132,8 @@
         self.confirmed_by_peer_until = NEVER
         self.confirmed_by_any_until = NEVER
 
-    def apply(self, answer: PeerLogAnswer, asked_at: float) -> Sequence[str]:
-        """Apply the answer to a request sent at ``asked_at``; returns the entries that are new to this process.
+    def apply(self, answer: PeerLogAnswer, requested_at: float) -> Sequence[str]:
+        """Apply the answer to a request sent at ``requested_at``; returns the entries that are new to this process.
 
         The caller must add them to the local log before it uses this progress or the answer in any other way.
         """
@@ -143,9 +143,9 @@
         self.applied = max(self.applied, answer.first + len(answer.job_ids))
         if self.applied >= answer.total:
             if answer.replica_loaded:
-                self.confirmed_by_peer_until = max(self.confirmed_by_peer_until, asked_at)
+                self.confirmed_by_peer_until = max(self.confirmed_by_peer_until, requested_at)
             if answer.staleness_s is not None:
-                self.confirmed_by_any_until = max(self.confirmed_by_any_until, asked_at - answer.staleness_s)
+                self.confirmed_by_any_until = max(self.confirmed_by_any_until, requested_at - answer.staleness_s)
         return new_job_ids
 
 
--- a/src/passrock/core/free_capacity.py
+++ b/src/passrock/core/free_capacity.py
@@ -6,7 +6,7 @@
 from passrock.core.job import Job, smallest_request
 from passrock.core.machine import Machine
 from passrock.core.model import JobSpec, MachineType, Resources
-from passrock.core.objectives import image_fetch_time
+from passrock.core.objectives import image_fetch_time_s
 
 
 class FreeCapacity:
@@ -67,5 +67,5 @@
     def longest_image_fetch_s(self, spec: JobSpec) -> float:
         """Return the seconds to fetch the job's image on the slowest type of the schedulable machines."""
         return max(
-            (image_fetch_time(spec, machine_type) for machine_type in self.machine_types.values()), default=0.0
+            (image_fetch_time_s(spec, machine_type) for machine_type in self.machine_types.values()), default=0.0
         )
--- a/src/passrock/core/gang_placement.py
+++ b/src/passrock/core/gang_placement.py
@@ -67,14 +67,14 @@
         spec = job.spec
         shape = GangShape.of(spec)
         unschedulable_size = self._unschedulable_shapes.get(shape)
-        if unschedulable_size is not None and spec.tasks >= unschedulable_size and not self.holds.exist_for(job):
+        if unschedulable_size is not None and spec.task_count >= unschedulable_size and not self.holds.exist_for(job):
             self.starvation_holds.hold_machines(job, now)
             return []
-        if self.quotas.has_orphans(job) or not self.quotas.allows(job, spec.tasks):
+        if self.quotas.has_orphans(job) or not self.quotas.allows(job, spec.task_count):
             return []
         option = self._cheapest_option(job, now)
         if option is None:
-            smallest = spec.tasks if unschedulable_size is None else min(spec.tasks, unschedulable_size)
+            smallest = spec.task_count if unschedulable_size is None else min(spec.task_count, unschedulable_size)
             self._unschedulable_shapes[shape] = smallest
             self.starvation_holds.hold_machines(job, now)
             return []
@@ -94,18 +94,18 @@
         machines: list[Machine] = []
         longest_fetch = total_cost = 0.0
         heap = self.scorer.candidate_heap(job, zone, now)
-        while heap and len(machines) < spec.tasks:
+        while heap and len(machines) < spec.task_count:
             cost, _, machine = heappop(heap)
-            longest_fetch = max(longest_fetch, machine.image_fetch_time(spec))
+            longest_fetch = max(longest_fetch, machine.image_fetch_time_s(spec))
             total_cost += cost
             self.capacity.allocate(machine, spec.resources)
             machines.append(machine)
             self.scorer.push_back(heap, job, machine)
         for machine in machines:
             self.capacity.release(machine, spec.resources)
-        if len(machines) < spec.tasks:
+        if len(machines) < spec.task_count:
             return None
-        return GangOption(longest_fetch + total_cost / spec.tasks, machines)
+        return GangOption(longest_fetch + total_cost / spec.task_count, machines)
 
     def _start(self, job: Job, machines: list[Machine], now: float) -> list[TaskAttempt]:
         attempt_number = job.next_attempt_number(0)
--- a/src/passrock/core/job.py
+++ b/src/passrock/core/job.py
@@ -116,7 +116,7 @@
         cancelled_at: a lower bound of the time at which the cancellation was confirmed to the user; infinite while
             the job is not cancelled.
         final_status: the status in the final record; None until this record is committed.
-        done_count: the number of completed tasks.
+        completed_count: the number of completed tasks.
         attempt_count: the number of attempts that are or may be on machines.
         first_waiting_index: no task with a lower index waits, apart from the requeued tasks.
         requeued: indexes of the tasks that wait again because their attempt was lost.
@@ -134,7 +134,7 @@
         self.cancelled = False
         self.cancelled_at = math.inf
         self.final_status: str | None = None
-        self.done_count = 0
+        self.completed_count = 0
         self.attempt_count = 0
         self.first_waiting_index = 0
         self.requeued: set[int] = set()
@@ -149,19 +149,19 @@
         page = self.pages.get(number)
         if page is None:
             first = number * self.page_size
-            page = TaskPage(first, min(self.page_size, self.spec.tasks - first))
+            page = TaskPage(first, min(self.page_size, self.spec.task_count - first))
             self.pages[number] = page
         return page
 
-    def is_done(self, index: int) -> bool:
+    def is_completed(self, index: int) -> bool:
         """Whether this task has completed."""
         page = self.pages.get(index // self.page_size)
         return page is not None and bool(page.completed >> (index - page.first) & 1)
 
     @property
-    def is_suspect(self) -> bool:
+    def is_presumed_faulty(self) -> bool:
         """Whether the job itself seems faulty: tasks failed on several machines and none has completed."""
-        return len(self.avoided_machines) > 1 and self.done_count == 0
+        return len(self.avoided_machines) > 1 and self.completed_count == 0
 
     def attempts(self) -> Iterator[TaskAttempt]:
         """Iterate over all attempts that are or may be on machines."""
@@ -176,22 +176,22 @@
     @property
     def waiting_count(self) -> int:
         """The number of tasks that have neither completed nor an attempt."""
-        return self.spec.tasks - self.done_count - self.attempt_count
+        return self.spec.task_count - self.completed_count - self.attempt_count
 
     def next_waiting_indexes(self, limit: int) -> list[int]:
         """Return the indexes of up to ``limit`` tasks to place, requeued tasks first; the job is not changed."""
         waiting = sorted(self.requeued)[:limit]
         index = self.first_waiting_index
-        while index < self.spec.tasks and len(waiting) < limit:
-            if not self.is_done(index) and not self.has_attempt(index) and index not in self.requeued:
+        while index < self.spec.task_count and len(waiting) < limit:
+            if not self.is_completed(index) and not self.has_attempt(index) and index not in self.requeued:
                 waiting.append(index)
             index += 1
         return waiting
 
     def advance_first_waiting_index(self) -> None:
         """Advance past tasks that don't wait, so that a large array isn't searched from its start each time."""
-        while self.first_waiting_index < self.spec.tasks and (
-            self.is_done(self.first_waiting_index)
+        while self.first_waiting_index < self.spec.task_count and (
+            self.is_completed(self.first_waiting_index)
             or self.has_attempt(self.first_waiting_index)
             or self.first_waiting_index in self.requeued
         ):
@@ -219,5 +219,5 @@
     return Resources(
         min((request.cpus for request in requests), default=0.0),
         min((request.gpus for request in requests), default=0.0),
-        min((request.memory for request in requests), default=0.0),
+        min((request.memory_gb for request in requests), default=0.0),
     )
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -100,7 +100,9 @@
             team = self.teams.get(job.spec.team)
             if team is None or job.cancelled:
                 continue
-            total = demand.get(team.name, ZERO_RESOURCES) + job.spec.resources.scaled(job.spec.tasks - job.done_count)
+            total = demand.get(team.name, ZERO_RESOURCES) + job.spec.resources.scaled(
+                job.spec.task_count - job.completed_count
+            )
             demand[team.name] = total
             if team.within_guarantee(total):
                 self.guaranteed.add(job.spec.id)
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -56,7 +56,7 @@
         page.attempt_number = record.attempt_number
         page.completed = int(record.completed_bitmap, 16)
         page.mod_revision = mod_revision
-        job.done_count += page.completed.bit_count()
+        job.completed_count += page.completed.bit_count()
         self.demand_version += 1
         for index, stored in record.attempts.items():
             attempt = TaskAttempt(
@@ -67,7 +67,7 @@
 
     def finish_loading(self, job: Job) -> None:
         """Stop an incomplete gang and finalize a job that is over; called once all pages of the job are loaded."""
-        if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.tasks - job.done_count:
+        if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.task_count - job.completed_count:
             self._stop_gang(job)
         self._finalize_if_over(job)
 
@@ -86,9 +86,9 @@
         return page is None or page.committed_version >= page.version
 
     def failed_job_count(self, machine: Machine) -> int:
-        """Return how many unfinished jobs have failed on a machine, without those that seem faulty themselves."""
+        """Return how many unfinished jobs have failed on a machine, without those that are presumed faulty."""
         failed = [self.jobs[job_id] for job_id in machine.failed_jobs if job_id in self.jobs]
-        return sum(not job.is_suspect for job in failed)
+        return sum(not job.is_presumed_faulty for job in failed)
 
     # -- changes of attempts ----------------------------------------------------------------
 
@@ -121,7 +121,7 @@
         del page.attempts[attempt.index]
         self._untrack(attempt)
         self._mark_uncommitted(job, page)
-        if not job.is_done(attempt.index):
+        if not job.is_completed(attempt.index):
             job.requeued.add(attempt.index)
             job.waiting_since = now
             if job.spec.kind is JobKind.GANG:
@@ -134,9 +134,9 @@
         for ended in attempt.gang_attempts():
             del job.page(ended.index).attempts[ended.index]
             self._untrack(ended)
-        indexes = range(job.spec.tasks) if job.spec.kind is JobKind.GANG else [attempt.index]
+        indexes = range(job.spec.task_count) if job.spec.kind is JobKind.GANG else [attempt.index]
         for index in indexes:
-            self._mark_done(job, index)
+            self._mark_completed(job, index)
         self._finalize_if_over(job)
 
     def record_lease_expired(self, machine_name: str, now: float) -> int:
@@ -202,18 +202,18 @@
             if attempt.is_unlaunched:
                 self.record_attempt_lost(attempt, job.waiting_since)
 
-    def _mark_done(self, job: Job, index: int) -> None:
+    def _mark_completed(self, job: Job, index: int) -> None:
         page = job.page(index)
         bit = 1 << (index - page.first)
         if not page.completed & bit:
             page.completed |= bit
-            job.done_count += 1
+            job.completed_count += 1
             self.demand_version += 1
             self._mark_uncommitted(job, page)
         job.requeued.discard(index)
 
     def _finalize_if_over(self, job: Job) -> None:
-        is_over = job.cancelled or job.done_count == job.spec.tasks
+        is_over = job.cancelled or job.completed_count == job.spec.task_count
         if is_over and job.attempt_count == 0 and job.final_status is None:
             self.finalizing[job.spec.id] = None
 
--- a/src/passrock/core/machine.py
+++ b/src/passrock/core/machine.py
@@ -65,7 +65,7 @@
     @property
     def free_capacity(self) -> Resources:
         """The capacity that neither attempts nor orphans use."""
-        free = self.type.size - self.used
+        free = self.type.capacity - self.used
         for amount in self.orphans.values():
             free = free - amount
         return free
@@ -75,11 +75,11 @@
 
         Compares plain numbers, as every scheduling pass calls this for every machine.
         """
-        size, used = self.type.size, self.used
+        capacity, used = self.type.capacity, self.used
         return (
-            resources.gpus <= size.gpus - used.gpus + EPSILON
-            and resources.cpus <= size.cpus - used.cpus + EPSILON
-            and resources.memory <= size.memory - used.memory + EPSILON
+            resources.gpus <= capacity.gpus - used.gpus + EPSILON
+            and resources.cpus <= capacity.cpus - used.cpus + EPSILON
+            and resources.memory_gb <= capacity.memory_gb - used.memory_gb + EPSILON
             and (not self.orphans or resources.fits(self.free_capacity))
         )
 
@@ -105,7 +105,7 @@
         while len(self.images) > 1 and sum(self.images.values()) > self.type.cache_gb:
             self.images.popitem(last=False)
 
-    def image_fetch_time(self, spec: JobSpec) -> float:
+    def image_fetch_time_s(self, spec: JobSpec) -> float:
         """Return the seconds until a task of this job would have its image on this machine."""
         if spec.image in self.images:
             return 0.0
@@ -114,7 +114,7 @@
             outstanding_gb += spec.image_gb
         return outstanding_gb / self.type.fetch_gb_per_s if self.type.fetch_gb_per_s > 0 else 0.0
 
-    def image_fetch_interference(self, spec: JobSpec) -> float:
+    def image_fetch_interference_s(self, spec: JobSpec) -> float:
         """Return the seconds by which this job's image would delay the fetches in progress; all share one rate."""
         others = len(self.fetching) - (spec.image in self.fetching)
         if others <= 0 or spec.image in self.images or spec.image in self.fetching or self.type.fetch_gb_per_s <= 0:
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -56,7 +56,7 @@
             MachineOffering(machine_type.name, zone, spot=False)
             for machine_type in self.types.values()
             for zone in machine_type.zones
-            if machine_type.size.gpus > 0
+            if machine_type.capacity.gpus > 0
         ]
         return min(
             (offering for offering in offerings if self.is_available(offering, now)),
@@ -81,7 +81,7 @@
 
     def _allowed_offerings(self, job: Job) -> Iterator[MachineOffering]:
         for machine_type in self.types.values():
-            if job.spec.resources.fits(machine_type.size):
+            if job.spec.resources.fits(machine_type.capacity):
                 for zone in machine_type.zones:
                     for spot in (True, False):
                         if job.spec.allows(machine_type.name, zone, spot=spot):
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -71,11 +71,11 @@
 
     def is_expected_back(self, machine: Machine, now: float) -> bool:
         """Whether an unresponsive machine is expected to return, so that it needs no replacement."""
-        unseen_s = now - self.last_seen_at(machine)
+        since_last_heartbeat_s = now - self.last_seen_at(machine)
         return (
             machine.heartbeat_received
             and not machine.deleting
-            and self.unresponsive_after_s < unseen_s < self.return_timeout_s(machine)
+            and self.unresponsive_after_s < since_last_heartbeat_s < self.return_timeout_s(machine)
         )
 
     def return_timeout_s(self, machine: Machine) -> float:
@@ -123,13 +123,13 @@
             and machine.quarantined_until <= now
         )
 
-    def is_lease_expired(self, machine: Machine, now: float, fenced_at: float | None) -> bool:
+    def is_lease_expired(self, machine: Machine, now: float, fence_effective_at: float | None) -> bool:
         """Whether the worker's lease has expired and no controller can have renewed it.
 
-        ``fenced_at`` is when a majority of controllers had acknowledged this leader's term and the last support
-        for an older term had expired. Before that, or while it is None, an older leader may still answer the worker
-        and thereby renew its lease.
+        ``fence_effective_at`` is when a majority of controllers had acknowledged this leader's term and the last
+        support for an older term had expired. Before that, or while it is None, an older leader may still answer the
+        worker and thereby renew its lease.
         """
-        if fenced_at is None:
+        if fence_effective_at is None:
             return False
-        return now - max(machine.last_answer_at, fenced_at) > self.max_lease_s
+        return now - max(machine.last_answer_at, fence_effective_at) > self.max_lease_s
--- a/src/passrock/core/machine_scoring.py
+++ b/src/passrock/core/machine_scoring.py
@@ -16,7 +16,7 @@
 FREE_SHARE_COST_S = 15.0  # times the share of the machine that stays free, for bin packing
 OTHER_RESERVATION_COST_S = 4.0  # for a machine that is assigned to another team
 ON_DEMAND_COST_S = 40.0  # for an on-demand machine if the job may use spot instances
-FRAGMENTATION_COST_S = 40.0  # times the share that a replica leaves free on an empty machine for as long as it runs
+FRAGMENTATION_COST_S = 40.0  # times the share that a service replica leaves free on an empty machine while it runs
 AVOIDED_MACHINE_COST_S = 1000.0  # for a machine on which a task of the job has failed
 
 # Cost in seconds, machine name (the tie-breaker) and machine, in the order in which heapq compares them.
@@ -43,9 +43,9 @@
     def cost(self, job: Job, machine: Machine) -> float:
         """Return the cost, in seconds, of placing a task of the job on the machine."""
         spec = job.spec
-        free_share = (self.capacity.free_on(machine) - spec.resources).dominant_share(machine.type.size)
-        interference = machine.image_fetch_interference(spec)
-        cost = machine.image_fetch_time(spec) + interference + FREE_SHARE_COST_S * free_share
+        free_share = (self.capacity.free_on(machine) - spec.resources).dominant_share(machine.type.capacity)
+        interference = machine.image_fetch_interference_s(spec)
+        cost = machine.image_fetch_time_s(spec) + interference + FREE_SHARE_COST_S * free_share
         team = self.assignments.get(machine.name)
         if team is not None and team != spec.team:
             cost += OTHER_RESERVATION_COST_S
@@ -54,8 +54,8 @@
         if machine.name in job.avoided_machines:
             cost += AVOIDED_MACHINE_COST_S
         if spec.kind is JobKind.SERVICE:
-            # Replicas run for long, and spread over empty machines they fragment each of these: the remaining
-            # capacity is of no use to gangs that need entire machines, and is paid for until the last replica ends.
+            # Service replicas run for long, and spread over empty machines they fragment each of these: the remaining
+            # capacity is of no use to gangs that need entire machines, and is paid for until the last of them ends.
             # But if another image is still being fetched on an occupied machine, both tasks would start late.
             occupied = self.job_table.attempts_by_machine.get(machine.name)
             cost += interference if occupied else FRAGMENTATION_COST_S * free_share
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -10,7 +10,7 @@
 
 
 class JobKind(StrEnum):
-    """Kind of a job, by its tasks: independent tasks, a gang, or replicas of a service."""
+    """Kind of a job, by its tasks: independent tasks, a gang, or service replicas."""
 
     ARRAY = "array"
     GANG = "gang"
@@ -31,24 +31,24 @@
 
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
 
     def __add__(self, other: Resources) -> Resources:
-        return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.memory + other.memory)
+        return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb)
 
     def __sub__(self, other: Resources) -> Resources:
-        return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.memory - other.memory)
+        return Resources(self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb)
 
     def scaled(self, count: float) -> Resources:
         """Return ``count`` times this amount."""
-        return Resources(self.cpus * count, self.gpus * count, self.memory * count)
+        return Resources(self.cpus * count, self.gpus * count, self.memory_gb * count)
 
     def fits(self, capacity: Resources) -> bool:
         """Whether this amount fits into ``capacity``."""
         return (
             self.gpus <= capacity.gpus + EPSILON
             and self.cpus <= capacity.cpus + EPSILON
-            and self.memory <= capacity.memory + EPSILON
+            and self.memory_gb <= capacity.memory_gb + EPSILON
         )
 
     def fit_count(self, capacity: Resources, limit: int) -> int:
@@ -58,7 +58,7 @@
             for requested, available in (
                 (self.cpus, capacity.cpus),
                 (self.gpus, capacity.gpus),
-                (self.memory, capacity.memory),
+                (self.memory_gb, capacity.memory_gb),
             )
             if requested > 0
         ]
@@ -71,7 +71,7 @@
             for requested, available in (
                 (self.cpus, total.cpus),
                 (self.gpus, total.gpus),
-                (self.memory, total.memory),
+                (self.memory_gb, total.memory_gb),
             )
             if available > 0
         ]
@@ -116,7 +116,7 @@
     """A machine type that the cloud offers; prices are per hour, times in seconds."""
 
     name: str
-    size: Resources
+    capacity: Resources
     cache_gb: float
     fetch_gb_per_s: float
     price: float
@@ -133,7 +133,7 @@
     """The specification of a job as submitted by the user; it never changes.
 
     Attributes:
-        tasks: the number of tasks.
+        task_count: the number of tasks.
         resources: the resources that each task requests.
         machine_types: names of the allowed machine types; None allows all.
         zone: the only allowed zone; None allows all.
@@ -151,7 +151,7 @@
     team: str
     kind: JobKind
     priority: Priority
-    tasks: int
+    task_count: int
     resources: Resources
     image: str
     image_gb: float
@@ -175,4 +175,4 @@
 
     def max_tasks_per_zone(self) -> int:
         """Return how many tasks may be in the same zone: half of them, rounded up, if they have to be spread."""
-        return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
+        return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -102,7 +102,7 @@
         if self.is_starving(job, now):
             return True
         latest = self.latest_start(job, now)
-        return latest is not None and latest - now <= PROVISIONING_MARGIN_RATIO * provisioning_time(
+        return latest is not None and latest - now <= PROVISIONING_MARGIN_RATIO * provisioning_time_s(
             machine_type, job.spec
         )
 
@@ -114,11 +114,11 @@
         return now - job.waiting_since > self.starvation_threshold_s * (1 if job.attempt_count == 0 else 2)
 
 
-def image_fetch_time(spec: JobSpec, machine_type: MachineType) -> float:
+def image_fetch_time_s(spec: JobSpec, machine_type: MachineType) -> float:
     """Return the seconds to fetch a job's image on a machine that doesn't have it in its cache."""
     return spec.image_gb / machine_type.fetch_gb_per_s if machine_type.fetch_gb_per_s > 0 else 0.0
 
 
-def provisioning_time(machine_type: MachineType, spec: JobSpec) -> float:
+def provisioning_time_s(machine_type: MachineType, spec: JobSpec) -> float:
     """Return the seconds from the request for a machine until a task of the job runs on it."""
-    return machine_type.boot_s + image_fetch_time(spec, machine_type)
+    return machine_type.boot_s + image_fetch_time_s(spec, machine_type)
--- a/src/passrock/core/preemption_planner.py
+++ b/src/passrock/core/preemption_planner.py
@@ -10,7 +10,7 @@
 from passrock.core.job import Job, TaskAttempt
 from passrock.core.machine import Machine
 from passrock.core.model import JobKind, JobSpec
-from passrock.core.objectives import image_fetch_time
+from passrock.core.objectives import image_fetch_time_s
 from passrock.core.preemption_policy import PreemptionPolicy
 from passrock.core.scheduler import Scheduler
 from passrock.core.task_placement import MAX_TASKS_PER_PASS
@@ -49,7 +49,7 @@
 
     def image_fetch_s(self, spec: JobSpec) -> float:
         """Return the longest time to fetch the job's image on any of the plan's machines."""
-        return max((entry.machine.image_fetch_time(spec) for entry in self.entries), default=0.0)
+        return max((entry.machine.image_fetch_time_s(spec) for entry in self.entries), default=0.0)
 
     def longest_save_s(self) -> float:
         """Return the longest time that a victim takes to save its checkpoint."""
@@ -100,7 +100,7 @@
     def _allowed_count(self, job: Job) -> int:
         """Return how many waiting tasks the quota allows, up to the limit of a pass; for a gang all or none."""
         if job.spec.kind is JobKind.GANG:
-            return job.spec.tasks if self.quotas.allows(job, job.spec.tasks) else 0
+            return job.spec.task_count if self.quotas.allows(job, job.spec.task_count) else 0
         count = len(job.next_waiting_indexes(MAX_TASKS_PER_PASS))
         while count > 0 and not self.quotas.allows(job, count):
             count -= 1
@@ -123,7 +123,7 @@
                 continue
             if (zone is not None and machine.zone != zone) or machine.name in job.avoided_machines:
                 continue
-            image_fetch_s = machine.image_fetch_time(spec)
+            image_fetch_s = machine.image_fetch_time_s(spec)
             if image_fetch_s > max_image_fetch_s:
                 continue
             choice = self._choose_victims(job, machine, now, elastic_only=elastic_only)
@@ -174,7 +174,7 @@
         # Without a checkpoint, all progress since the placement is lost, including that of an image fetch.
         lost = spec.checkpoint_save_s if victim.can_save_checkpoint else now - victim.placed_at
         machine = self.inventory.machines.get(victim.machine)
-        restart = image_fetch_time(spec, machine.type) if machine is not None else 0.0
+        restart = image_fetch_time_s(spec, machine.type) if machine is not None else 0.0
         count = victim.job.attempt_count if spec.kind is JobKind.GANG else 1
         return (lost + restart) * count * max(1.0, spec.resources.gpus)
 
--- a/src/passrock/core/quota.py
+++ b/src/passrock/core/quota.py
@@ -51,5 +51,5 @@
         total = ZERO_RESOURCES
         for job in self.job_table.jobs.values():
             if job.spec.team == team and not job.cancelled:
-                total = total + job.spec.resources.scaled(job.spec.tasks - job.done_count)
+                total = total + job.spec.resources.scaled(job.spec.task_count - job.completed_count)
         return total
--- a/src/passrock/core/reconciler.py
+++ b/src/passrock/core/reconciler.py
@@ -260,4 +260,4 @@
         return False
     members = list(attempt.job.attempts())
     started = any(member.running_since is not None for member in members)
-    return not started and len(members) == attempt.job.spec.tasks
+    return not started and len(members) == attempt.job.spec.task_count
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -71,7 +71,7 @@
 
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
 
 
 class PlacementRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -98,7 +98,7 @@
         "team": "t",
         "kind": "k",
         "priority": "p",
-        "tasks": "n",
+        "task_count": "n",
         "resources": "r",
         "image": "i",
         "image_gb": "ig",
@@ -116,7 +116,7 @@
     team: str
     kind: JobKind
     priority: Priority
-    tasks: int
+    task_count: int
     resources: ResourcesRecord
     image: str
     image_gb: float
@@ -135,8 +135,8 @@
             team=spec.team,
             kind=spec.kind,
             priority=spec.priority,
-            tasks=spec.tasks,
-            resources=ResourcesRecord(spec.resources.cpus, spec.resources.gpus, spec.resources.memory),
+            task_count=spec.task_count,
+            resources=ResourcesRecord(spec.resources.cpus, spec.resources.gpus, spec.resources.memory_gb),
             image=spec.image,
             image_gb=spec.image_gb,
             types=None if spec.machine_types is None else list(spec.machine_types),
@@ -154,8 +154,8 @@
             team=self.team,
             kind=self.kind,
             priority=self.priority,
-            tasks=self.tasks,
-            resources=Resources(self.resources.cpus, self.resources.gpus, self.resources.memory),
+            task_count=self.task_count,
+            resources=Resources(self.resources.cpus, self.resources.gpus, self.resources.memory_gb),
             image=self.image,
             image_gb=self.image_gb,
             machine_types=None if self.types is None else tuple(self.types),
@@ -210,11 +210,11 @@
         )
 
 
-class FinalRecord(msgspec.Struct, frozen=True, rename={"status": "s", "tasks": "n"}):
+class FinalRecord(msgspec.Struct, frozen=True, rename={"status": "s", "task_count": "n"}):
     """The final status of a job, ``DONE`` or ``CANCELLED``; its other records are deleted."""
 
     status: str
-    tasks: int
+    task_count: int
 
 
 class CancellationRecord(msgspec.Struct, frozen=True, rename={"requested_at": "at"}):
@@ -264,8 +264,8 @@
 
 def total_tasks(value: dict[str, Any]) -> int:
     """Return a job's total number of tasks from its stored value, without decoding the whole record."""
-    tasks: int = value["s"]["n"]
-    return tasks
+    task_count: int = value["s"]["n"]
+    return task_count
 
 
 def tasks_per_page(value_bytes: int) -> int:
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -123,7 +123,7 @@
 def _booting_bins(job_table: JobTable, inventory: MachineInventory, now: float) -> list[CapacityBin]:
     """Return bins for machines that will soon have capacity: booting ones, and ones expected back without tasks."""
     return [
-        _bin(machine, machine.type.size)
+        _bin(machine, machine.type.capacity)
         for machine in inventory.machines.values()
         if (not machine.heartbeat_received and not machine.deleting)
         or (machine.name not in job_table.attempts_by_machine and inventory.health.is_expected_back(machine, now))
@@ -194,7 +194,7 @@
         return added
 
     def _new_machine(self, offering: MachineOffering) -> CapacityBin:
-        return CapacityBin(offering, self.catalog.types[offering.machine_type].size)
+        return CapacityBin(offering, self.catalog.types[offering.machine_type].capacity)
 
     def _gang_options(self, job: Job, count: int, bins: list[CapacityBin]) -> Iterator[_GangOption]:
         """Yield the options for a gang: one for each zone if it needs a single zone, otherwise one over all zones."""
--- a/src/passrock/core/starvation_holds.py
+++ b/src/passrock/core/starvation_holds.py
@@ -63,7 +63,7 @@
         Tasks on the held machines end by themselves or are preempted where the rules of preemption allow it; booting
         machines are added once they are schedulable.
         """
-        wanted = job.spec.tasks if job.spec.kind is JobKind.GANG else 1
+        wanted = job.spec.task_count if job.spec.kind is JobKind.GANG else 1
         has_precedence = self.queue.is_prioritized(job) or self.objectives.is_starving(job, now)
         if not has_precedence or not self.quotas.allows(job, wanted):
             return
@@ -101,7 +101,7 @@
                 continue
             if not spec.allows(machine.type.name, machine.zone, spot=machine.spot):
                 continue
-            if not spec.resources.fits(machine.type.size):
+            if not spec.resources.fits(machine.type.capacity):
                 continue
             wait_s = self.forecast.seconds_until_free(machine, spec.resources, now)
             candidates.append(HoldCandidate(machine, wait_s, machine.name in held_already))
--- a/src/passrock/core/task_exits.py
+++ b/src/passrock/core/task_exits.py
@@ -43,10 +43,10 @@
 def _record_failure(job: Job, machine: Machine, inventory: MachineInventory, now: float) -> None:
     """Record the failure of a task, which is usually due to the machine, though some jobs fail on any machine.
 
-    Failures of a suspect job don't quarantine machines: otherwise a faulty array had every machine quarantined on
-    which one of its tasks started.
+    Failures of a job that is presumed faulty don't quarantine machines: otherwise a faulty array had every machine
+    quarantined on which one of its tasks started.
     """
-    if not job.is_suspect:
+    if not job.is_presumed_faulty:
         machine.quarantined_until = max(machine.quarantined_until, now + inventory.health.lease_s)
     machine.failed_jobs[job.spec.id] = now
     job.avoided_machines.add(machine.name)
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -1,4 +1,4 @@
-"""Placement of tasks that start independently: those of arrays, and replicas of services."""
+"""Placement of tasks that start independently: those of arrays, and service replicas."""
 
 from __future__ import annotations
 
--- a/src/passrock/io/http_server.py
+++ b/src/passrock/io/http_server.py
@@ -79,16 +79,16 @@
         handler: answers each request, at once or later.
         connection_limit: the maximum number of open connections.
         idle_timeout_s: a connection without a request for longer is closed.
-        head_timeout_s: a request that takes longer to arrive is answered with 408.
+        request_timeout_s: a request that takes longer to arrive is answered with 408.
     """
 
     def __init__(
-        self, handler: Handler, connection_limit: int, *, idle_timeout_s: float, head_timeout_s: float
+        self, handler: Handler, connection_limit: int, *, idle_timeout_s: float, request_timeout_s: float
     ) -> None:
         self.handler = handler
         self.connection_limit = connection_limit
         self.idle_timeout_s = idle_timeout_s
-        self.head_timeout_s = head_timeout_s
+        self.request_timeout_s = request_timeout_s
         self.connections: set[ServerConnection] = set()
         self._connection_limit_logged_at: float | None = None
 
@@ -96,7 +96,7 @@
         """Listen, and begin to close idle and slow connections at intervals."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: ServerConnection(self), host, port, backlog=self.connection_limit)
-        loop.call_later(self.head_timeout_s / 2, self.sweep)
+        loop.call_later(self.request_timeout_s / 2, self.sweep)
         return server
 
     def sweep(self) -> None:
@@ -105,7 +105,7 @@
         now = loop.time()
         for connection in list(self.connections):
             connection.check_age(now)
-        loop.call_later(self.head_timeout_s / 2, self.sweep)
+        loop.call_later(self.request_timeout_s / 2, self.sweep)
 
     def evict_idle_if_full(self) -> bool:
         """Return whether a connection may be added; at the limit, close the one that has been idle longest."""
@@ -173,7 +173,7 @@
         if self.idle:
             if age > self.server.idle_timeout_s:
                 self.close()
-        elif age > self.server.head_timeout_s:
+        elif age > self.server.request_timeout_s:
             self._send(Response(408, close=True))
 
     def data_received(self, data: bytes) -> None:
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -68,10 +68,10 @@
 
     name: str
 
-    def outgoing(self) -> bytes:
+    def encode_message(self) -> bytes:
         """Return the data for this controller's heartbeat."""
 
-    def received(self, node: str, data: bytes) -> None:
+    def receive_message(self, node: str, data: bytes) -> None:
         """Process the data of a peer."""
 
 
@@ -130,7 +130,7 @@
         if not self.extensions:
             return heartbeat
         return msgspec.structs.replace(
-            heartbeat, extensions={extension.name: extension.outgoing() for extension in self.extensions}
+            heartbeat, extensions={extension.name: extension.encode_message() for extension in self.extensions}
         )
 
     def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
@@ -166,4 +166,4 @@
         for extension in self.extensions:
             data = heartbeat.extension(extension.name)
             if data is not None:
-                extension.received(heartbeat.node, data)
+                extension.receive_message(heartbeat.node, data)
--- a/src/passrock/wire/cloud.py
+++ b/src/passrock/wire/cloud.py
@@ -93,7 +93,7 @@
     return {
         row.name: MachineType(
             name=row.name,
-            size=Resources(row.cpus, row.gpus, row.memory_gb),
+            capacity=Resources(row.cpus, row.gpus, row.memory_gb),
             cache_gb=row.cache_gb,
             fetch_gb_per_s=row.fetch_gb_per_s,
             price=row.price,
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -38,7 +38,7 @@
         "team": "desk",
         "kind": "format",
         "priority": "precedence",
-        "tasks": "volumes",
+        "task_count": "volumes",
         "cpus": "cores",
         "gpus": "cards",
         "memory_gb": "ramGb",
@@ -60,7 +60,7 @@
     team: cbor.Text
     kind: cbor.Text
     priority: cbor.Text
-    tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
+    task_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
     cpus: cbor.Number
     gpus: cbor.Number
     memory_gb: cbor.Number
@@ -96,7 +96,7 @@
         team=message.team,
         kind=kind,
         priority=priority,
-        tasks=message.tasks,
+        task_count=message.task_count,
         resources=Resources(message.cpus, message.gpus, message.memory_gb),
         image=message.image,
         image_gb=message.image_gb,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -31,7 +31,7 @@
         "team": "t0",
         "kind": JobKind.ARRAY,
         "priority": Priority.NORMAL,
-        "tasks": 1,
+        "task_count": 1,
         "resources": Resources(5, 1, 20),
         "image": "img",
         "image_gb": 2.0,
--- a/tests/standins/loopback_cluster.py
+++ b/tests/standins/loopback_cluster.py
@@ -49,7 +49,9 @@
         """Put the services on sockets and write the controllers' settings."""
         ports = {}
         for name, service in (("state", self.state), ("cloud", self.cloud)):
-            server = HttpServer(self._handler(service), connection_limit=100, idle_timeout_s=600, head_timeout_s=60)
+            server = HttpServer(
+                self._handler(service), connection_limit=100, idle_timeout_s=600, request_timeout_s=60
+            )
             listening = await server.start("127.0.0.1", 0)
             ports[name] = listening.sockets[0].getsockname()[1]
         peers = {name: f"127.0.0.1:{free_port()}" for name in self.nodes}
--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -30,8 +30,8 @@
 
 def started_work(cluster):
     """Replicas, arrays whose tasks end far apart, arrays and gangs bound to one zone."""
-    replicas = {"format": "service", "precedence": "prod", "loanS": 0.0, "spread": len(cluster.zones) > 1}
-    jobs = [(cluster.job(n, volumes=2, **replicas), 1e6) for n in (0, 1)]
+    service_fields = {"format": "service", "precedence": "prod", "loanS": 0.0, "spread": len(cluster.zones) > 1}
+    jobs = [(cluster.job(n, volumes=2, **service_fields), 1e6) for n in (0, 1)]
     jobs += [(cluster.job(n, volumes=3), [4.0, LONG, LONG / 2]) for n in (2, 3)]
     jobs += [(cluster.job(n, volumes=2, samePlace=True), LONG) for n in (4, 5)]
     jobs += [(cluster.job(n, format="group", volumes=2, samePlace=True, precedence="high"), LONG) for n in (6, 7)]
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -52,7 +52,7 @@
         leader = await cluster.wait_for_leader()
         receiver = next(name for name in cluster.nodes if name != leader)
         control = cluster.nodes[leader].node.admission
-        received, copies = control.received, []
+        received, copies = control.receive_message, []
 
         def receive_shuffled(node, data):
             received(node, data)
@@ -61,7 +61,7 @@
                 received(node, copies[-7])  # an older report after newer ones
                 received(node, data)
 
-        control.received = receive_shuffled
+        control.receive_message = receive_shuffled
         start_overload(cluster, checker, node=receiver)
         await asyncio.sleep(30.0)
         node_grants = checker.allocation(slots_of(checker)[-1]).node_grants
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -51,7 +51,7 @@
     assert added == ["a", "b"]
 
 
-# Answers of one peer: (incarnation, replica loaded, staleness, first, total, entries, asked at);
+# Answers of one peer: (incarnation, replica loaded, staleness, first, total, entries, requested at);
 # then the new entries of the last answer, and the two times that all answers prove.
 ANSWERS = [
     pytest.param([(1, True, None, 0, 2, "ab", 5.0)], "ab", 5.0, NEVER, id="whole log"),
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize(("answers", "new", "peer_until", "any_until"), ANSWERS)
 def test_the_log_of_a_peer_is_complete_until_its_last_fully_applied_answer(answers, new, peer_until, any_until):
     progress = PeerLogProgress()
-    for *fields, asked_at in answers:
-        new_job_ids = progress.apply(PeerLogAnswer(*fields), asked_at)
+    for *fields, requested_at in answers:
+        new_job_ids = progress.apply(PeerLogAnswer(*fields), requested_at)
     assert "".join(new_job_ids) == new
     assert (progress.confirmed_by_peer_until, progress.confirmed_by_any_until) == (peer_until, any_until)
 
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -61,7 +61,7 @@
         answers = []
         for sim in cluster.nodes.values():
             sim.node.catalog.types = {
-                "tiny": msgspec.structs.replace(sim.node.catalog.types["box"], size=ZERO_RESOURCES)
+                "tiny": msgspec.structs.replace(sim.node.catalog.types["box"], capacity=ZERO_RESOURCES)
             }
         for number in (0, 99):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
--- a/tests/test_golden_encodings.py
+++ b/tests/test_golden_encodings.py
@@ -151,10 +151,10 @@
 
 
 def make_spec(values):
-    job, job_class, team, kind, priority, tasks, resources, image, image_gb, types, *rest = values.values()
+    job, job_class, team, kind, priority, task_count, resources, image, image_gb, types, *rest = values.values()
     types = None if types is None else tuple(types)
     kind, priority, resources = JobKind(kind), Priority(priority), Resources(*resources.values())
-    return JobSpec(job, job_class, team, kind, priority, tasks, resources, image, image_gb, types, *rest)
+    return JobSpec(job, job_class, team, kind, priority, task_count, resources, image, image_gb, types, *rest)
 
 
 def encode_job(values):
@@ -576,7 +576,7 @@
         harness.inventory.machines[name].images.update(
             {f"edition-{position % 3}": 2.5 + position % 3, "edition-9": 9.75}
         )
-    harness.job(1, tasks=60, team="t0")
+    harness.job(1, task_count=60, team="t0")
     return harness
 
 
@@ -594,7 +594,7 @@
     """Run a binding round after which an earlier leader's reservation has fewer machines than its record and page."""
     harness = SchedulerHarness(())
     harness.add_machine("host-31")
-    harness.job(1, tasks=2, team="t0")
+    harness.job(1, task_count=2, team="t0")
     rounds = make_rounds(store_client(http), harness)
     for entry in golden_entries("binding_round"):
         if entry.key.startswith(("p/r/", "p/m/")):
@@ -739,7 +739,7 @@
         to_plain(job.spec),
         job.submitted_at,
         job.submitted_at_monotonic,
-        job.done_count,
+        job.completed_count,
         job.cancelled,
         cancelled_at,
         pages,
@@ -951,10 +951,10 @@
     def __init__(self):
         self.received_data, self.sent = [], []
 
-    def outgoing(self):
+    def encode_message(self):
         return bytes.fromhex("93a1b2c3")
 
-    def received(self, node, data):
+    def receive_message(self, node, data):
         self.received_data.append([node, data.hex()])
 
     def subscribe(self, listener):
--- a/tests/test_hot_path_cost.py
+++ b/tests/test_hot_path_cost.py
@@ -39,7 +39,7 @@
 
 
 async def quiet_cluster():
-    """Start a cluster whose only tasks are the replicas of services on twenty machines."""
+    """Start a cluster whose only tasks are service replicas on twenty machines."""
     cluster = SimulatedCluster(3, machines=MACHINES, guarantee=16.0, limit=16.0, capacity=(MACHINES, 0))
     for number in range(6):
         spec = cluster.job(number, format="service", volumes=5, precedence="prod", loanS=0.0)
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -25,7 +25,7 @@
 
 async def send_raw(raw: bytes) -> bytes:
     """Send raw bytes to a server and read until it closes the connection."""
-    server = HttpServer(handler, connection_limit=8, idle_timeout_s=0.1, head_timeout_s=0.2)
+    server = HttpServer(handler, connection_limit=8, idle_timeout_s=0.1, request_timeout_s=0.2)
     listening = await server.start("127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -67,7 +67,7 @@
 
 def test_connections_beyond_the_limit_displace_idle_ones():
     async def main():
-        server = HttpServer(handler, connection_limit=2, idle_timeout_s=60, head_timeout_s=60)
+        server = HttpServer(handler, connection_limit=2, idle_timeout_s=60, request_timeout_s=60)
         listening = await server.start("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         opened = []
@@ -85,7 +85,7 @@
 
 def test_client_reuses_connections_and_raises_without_an_answer():
     async def main():
-        server = HttpServer(handler, connection_limit=8, idle_timeout_s=60, head_timeout_s=60)
+        server = HttpServer(handler, connection_limit=8, idle_timeout_s=60, request_timeout_s=60)
         listening = await server.start("127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         client = HttpClient(Address("127.0.0.1", port), 2)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -17,8 +17,8 @@
         ({"priority": Priority.PRODUCTION}, {"priority": Priority.PRODUCTION}, False),
         ({"priority": Priority.HIGH}, {"priority": Priority.NORMAL}, False),
         # the victim is beyond the guarantee of t1
-        ({"tasks": 6, "team": "t1"}, {"priority": Priority.NORMAL, "team": "t0"}, True),
-        ({"tasks": 6, "team": "t0"}, {"priority": Priority.NORMAL, "team": "t0"}, False),
+        ({"task_count": 6, "team": "t1"}, {"priority": Priority.NORMAL, "team": "t0"}, True),
+        ({"task_count": 6, "team": "t0"}, {"priority": Priority.NORMAL, "team": "t0"}, False),
     ],
 )
 def test_which_jobs_may_preempt(victim, job, preempted):
@@ -27,12 +27,17 @@
     harness.run()
     waiting = harness.job(2, at=1.0, **{"resources": Resources(5, 1, 20), "job_class": "now", **job})
     harness.job(
-        3, at=0.5, team="t1", resources=Resources(5, 1, 20), tasks=1, priority=victim.get("priority", Priority.NORMAL)
+        3,
+        at=0.5,
+        team="t1",
+        resources=Resources(5, 1, 20),
+        task_count=1,
+        priority=victim.get("priority", Priority.NORMAL),
     )
     harness.run(1.0)
     if waiting.attempt_count:
         harness.job_table.record_attempt_lost(next(waiting.attempts()), 1.0)
-    harness.inventory.machines["m1"].used = BOX.size
+    harness.inventory.machines["m1"].used = BOX.capacity
     harness.scheduler.run(1.0)
     if waiting.spec.priority is not Priority.PRODUCTION:
         # attempts that have not run for the minimum time are not preempted
@@ -48,7 +53,7 @@
     gang = harness.job(
         1,
         kind=JobKind.GANG,
-        tasks=2,
+        task_count=2,
         resources=Resources(10, 2, 50),
         team="t1",
         checkpoint_interval_s=5.0,
@@ -80,39 +85,47 @@
 ]
 
 
-@pytest.mark.parametrize(("team", "priority", "kind", "tasks", "revoked"), ELASTIC_WORK_CASES)
-def test_elastic_work_is_revoked_at_once(team, priority, kind, tasks, revoked):
+@pytest.mark.parametrize(("team", "priority", "kind", "task_count", "revoked"), ELASTIC_WORK_CASES)
+def test_elastic_work_is_revoked_at_once(team, priority, kind, task_count, revoked):
     """Elastic work of a team without a guarantee doesn't get the minimum run time of other victims.
 
     Otherwise guaranteed gangs waited for a minute although machines were full of elastic work.
     """
-    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(tasks)], teams=TEAMS_WITH_UNGUARANTEED)
+    harness = SchedulerHarness([(f"m{n}", "a", False) for n in range(task_count)], teams=TEAMS_WITH_UNGUARANTEED)
     harness.job(
         1,
         team=team,
         priority=priority,
-        tasks=4 * tasks,
+        task_count=4 * task_count,
         resources=Resources(4, 0, 10),
         checkpoint_interval_s=30.0,
         checkpoint_save_s=3.0,
     )
     harness.run()
     gang = harness.job(
-        2, at=1.0, kind=kind, tasks=tasks, resources=Resources(14, 2, 50), priority=Priority.HIGH, job_class="late"
+        2,
+        at=1.0,
+        kind=kind,
+        task_count=task_count,
+        resources=Resources(14, 2, 50),
+        priority=Priority.HIGH,
+        job_class="late",
     )
     assert harness.run(1.0) == []
     victims = harness.preemption.select_victims(gang, 1.0, elastic_only=True)
-    assert (len(victims) == 4 * tasks) is revoked
+    assert (len(victims) == 4 * task_count) is revoked
     assert bool(victims) is revoked
     assert harness.preemption.is_stopping_victims_for(gang) is False  # since no victim has been asked to stop
 
 
 def test_elastic_work_is_left_alone_when_its_capacity_is_not_enough():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)], teams=TEAMS_WITH_UNGUARANTEED)
-    harness.job(1, team="t1", priority=Priority.HIGH, tasks=1, resources=Resources(16, 2, 60))
+    harness.job(1, team="t1", priority=Priority.HIGH, task_count=1, resources=Resources(16, 2, 60))
     harness.run()
-    harness.job(2, team="unguaranteed", priority=Priority.LOW, tasks=4, resources=Resources(4, 0, 10))
+    harness.job(2, team="unguaranteed", priority=Priority.LOW, task_count=4, resources=Resources(4, 0, 10))
     harness.run()
-    gang = harness.job(3, at=1.0, kind=JobKind.GANG, tasks=2, resources=Resources(14, 2, 50), priority=Priority.HIGH)
+    gang = harness.job(
+        3, at=1.0, kind=JobKind.GANG, task_count=2, resources=Resources(14, 2, 50), priority=Priority.HIGH
+    )
     assert harness.run(1.0) == []
     assert harness.preemption.select_victims(gang, 1.0) == []
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -113,7 +113,7 @@
 
 def test_gang_stops_and_starts_as_a_whole():
     harness = SchedulerHarness([(f"m{i}", "a", False) for i in range(3)])
-    job = harness.job(kind=JobKind.GANG, tasks=3, resources=Resources(10, 2, 50))
+    job = harness.job(kind=JobKind.GANG, task_count=3, resources=Resources(10, 2, 50))
     assert len(harness.run()) == 3
     assert {attempt.number for attempt in job.attempts()} == {1}
     for attempt in job.attempts():
@@ -131,7 +131,7 @@
 
 def test_gang_member_whose_wait_timed_out_restarts_in_place():
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
-    job = harness.job(kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50))
+    job = harness.job(kind=JobKind.GANG, task_count=2, resources=Resources(10, 2, 50))
     harness.run()
     harness.commit()
     reconciler = Reconciler(harness.job_table, harness.inventory, TERM)
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    ("last_answer_at", "fenced_at", "now", "heartbeat_received", "is_expired"),
+    ("last_answer_at", "fence_effective_at", "now", "heartbeat_received", "is_expired"),
     [
         (0.0, None, 100.0, True, False),
         (0.0, 0.0, 10.5, True, False),
@@ -204,12 +204,12 @@
     ],
 )
 def test_lease_expiry_requires_the_fencing_of_older_leaders(
-    last_answer_at, fenced_at, now, heartbeat_received, is_expired
+    last_answer_at, fence_effective_at, now, heartbeat_received, is_expired
 ):
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     machine.last_answer_at, machine.heartbeat_received = last_answer_at, heartbeat_received
-    assert harness.inventory.health.is_lease_expired(machine, now, fenced_at) is is_expired
+    assert harness.inventory.health.is_lease_expired(machine, now, fence_effective_at) is is_expired
 
 
 def test_a_job_that_fails_on_several_machines_is_retried_later():
@@ -248,11 +248,11 @@
     first_faulty, second_faulty, first_sound, second_sound = (harness.job(number) for number in (1, 2, 3, 4))
     for now, machine in enumerate(("m1", "m2")):
         fail_on(harness, reconciler, first_faulty, machine, float(now))
-    assert first_faulty.is_suspect
+    assert first_faulty.is_presumed_faulty
     assert first_faulty.retry_not_before > 1.0  # the job is retried later
     quarantined_until = harness.inventory.machines["m3"].quarantined_until
     fail_on(harness, reconciler, first_faulty, "m3", 2.0)
-    # a suspect job quarantines no machine
+    # a job that is presumed faulty quarantines no machine
     assert harness.inventory.machines["m3"].quarantined_until == quarantined_until
     for now, machine in enumerate(("m2", "m1"), start=3):
         fail_on(harness, reconciler, second_faulty, machine, float(now))
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -9,10 +9,10 @@
 
 # waiting jobs -> machines to provision
 SCALE_OUTS = [
-    ([{"tasks": 3}], {MachineOffering("box", "a", False): 2}),
-    ([{"tasks": 3, "allows_spot": True}], {MachineOffering("box", "a", True): 2}),
-    ([{"tasks": 3, "kind": JobKind.GANG, "single_zone": True}], {MachineOffering("box", "a", False): 2}),
-    ([{"tasks": 20}], {MachineOffering("box", "a", False): 4}),  # up to the team's limit
+    ([{"task_count": 3}], {MachineOffering("box", "a", False): 2}),
+    ([{"task_count": 3, "allows_spot": True}], {MachineOffering("box", "a", True): 2}),
+    ([{"task_count": 3, "kind": JobKind.GANG, "single_zone": True}], {MachineOffering("box", "a", False): 2}),
+    ([{"task_count": 20}], {MachineOffering("box", "a", False): 4}),  # up to the team's limit
     ([{"zone": "b"}], {MachineOffering("box", "b", False): 1}),
 ]
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tasks", "estimate", "machines"),
+    ("task_count", "estimate", "machines"),
     [
         (20_000, 4.0, 21),  # the capacity for one task runs fifteen of them within the minimum charge
         (20_000, 0.1, 1),  # but 64 tasks get capacity of their own each
@@ -44,10 +44,14 @@
         (1_000, 300.0, 16),
     ],
 )
-def test_short_tasks_share_capacity(tasks, estimate, machines):
+def test_short_tasks_share_capacity(task_count, estimate, machines):
     harness = SchedulerHarness([])
     harness.job(
-        tasks=tasks, estimated_run_s=estimate, resources=Resources(0.25, 0, 1.0), allows_spot=True, team="free"
+        task_count=task_count,
+        estimated_run_s=estimate,
+        resources=Resources(0.25, 0, 1.0),
+        allows_spot=True,
+        team="free",
     )
     teams = {"free": Team("free", 0, 0, 0, 0)}
     catalog = MachineCatalog({"box": BOX})
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -12,39 +12,44 @@
 
 # job fields, machines (name, zone, spot), expected number of placed tasks
 PLACEMENT_CASES = [
-    pytest.param({"tasks": 3}, [("m1", "a", False)], 2, id="as many tasks as fit"),
-    pytest.param({"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0, id="a gang that does not fit"),
+    pytest.param({"task_count": 3}, [("m1", "a", False)], 2, id="as many tasks as fit"),
+    pytest.param({"task_count": 3, "kind": JobKind.GANG}, [("m1", "a", False)], 0, id="a gang that does not fit"),
     pytest.param({"zone": "b"}, [("m1", "a", False)], 0, id="another zone"),
     pytest.param({"machine_types": ("other",)}, [("m1", "a", False)], 0, id="another machine type"),
     pytest.param({}, [("m1", "a", True)], 0, id="spot instances not allowed"),
     pytest.param({"allows_spot": True}, [("m1", "a", True)], 1, id="spot instances allowed"),
     pytest.param(
-        {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
+        {"task_count": 2, "kind": JobKind.SERVICE, "spread_zones": True},
         [("m1", "a", False)],
         1,
-        id="replicas spread over zones, of which only one exists",
+        id="service replicas spread over zones, of which only one exists",
     ),
     pytest.param(
-        {"tasks": 2, "kind": JobKind.SERVICE, "spread_zones": True},
+        {"task_count": 2, "kind": JobKind.SERVICE, "spread_zones": True},
         [("m1", "a", False), ("m2", "b", False)],
         2,
-        id="replicas spread over zones",
+        id="service replicas spread over zones",
     ),
     pytest.param(
-        {"tasks": 3, "kind": JobKind.GANG, "single_zone": True},
+        {"task_count": 3, "kind": JobKind.GANG, "single_zone": True},
         [("m1", "a", False), ("m2", "b", False)],
         0,
         id="a single-zone gang for which neither zone has capacity",
     ),
     pytest.param(
-        {"tasks": 3, "kind": JobKind.GANG}, [("m1", "a", False), ("m2", "b", False)], 3, id="a gang over two zones"
+        {"task_count": 3, "kind": JobKind.GANG},
+        [("m1", "a", False), ("m2", "b", False)],
+        3,
+        id="a gang over two zones",
+    ),
+    pytest.param(
+        {"task_count": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2, id="a single-zone array"
     ),
     pytest.param(
-        {"tasks": 3, "single_zone": True}, [("m1", "a", False), ("m2", "b", False)], 2, id="a single-zone array"
+        {"task_count": 20}, [(f"m{i}", "a", False) for i in range(9)], 8, id="an array beyond the team's quota"
     ),
-    pytest.param({"tasks": 20}, [(f"m{i}", "a", False) for i in range(9)], 8, id="an array beyond the team's quota"),
     pytest.param(
-        {"tasks": 9, "kind": JobKind.GANG},
+        {"task_count": 9, "kind": JobKind.GANG},
         [(f"m{i}", "a", False) for i in range(9)],
         0,
         id="a gang beyond the team's quota",
@@ -102,10 +107,10 @@
     assert placed == ([machine] if machine == "on-demand" or not now else [])
 
 
-def test_replicas_share_machines():
-    """Replicas are packed: spread over empty machines, they left half of each unusable for as long as they ran."""
+def test_service_replicas_share_machines():
+    """Service replicas are packed: spread over empty machines, they left half of each unusable while they ran."""
     harness = SchedulerHarness([(f"m{i}", "a", False) for i in range(4)])
-    harness.job(1, kind=JobKind.SERVICE, tasks=4, priority=Priority.PRODUCTION)
+    harness.job(1, kind=JobKind.SERVICE, task_count=4, priority=Priority.PRODUCTION)
     assert len({machine for _, _, machine in harness.run()}) == 2
 
 
@@ -117,7 +122,7 @@
     assert harness.run() == [("wk-1", 0, "m1")]
     harness.job(2, image="two", image_gb=20.0, team="t1")
     assert harness.run() == [("wk-2", 0, "m2")]
-    assert harness.inventory.machines["m1"].image_fetch_interference(spec(3, image="one")) == 0.0
+    assert harness.inventory.machines["m1"].image_fetch_interference_s(spec(3, image="one")) == 0.0
 
 
 def test_an_objective_that_the_fetch_would_miss_does_not_count():
@@ -125,7 +130,7 @@
     harness = SchedulerHarness()
     image_gb_of = {1: 1.0, 2: 40.0, 3: 20.0}  # fetched at 1 GB/s; the objective is a start within 30 s
     for number, image_gb in image_gb_of.items():
-        harness.job(number, team="t1", tasks=6, job_class="soon", image_gb=image_gb, at=0.1 * number)
+        harness.job(number, team="t1", task_count=6, job_class="soon", image_gb=image_gb, at=0.1 * number)
     harness.run(0.4)
     harness.scheduler.queue.update_guaranteed_jobs()
     assert [job.spec.id for job in harness.scheduler.queue.ready_jobs(0.5)] == ["wk-3", "wk-1", "wk-2"]
@@ -133,7 +138,7 @@
 
 def test_queue_order():
     harness = SchedulerHarness()
-    harness.job(1, team="t1", tasks=6, job_class="late", at=0.0)
+    harness.job(1, team="t1", task_count=6, job_class="late", at=0.0)
     harness.job(2, job_class="late", at=1.0)
     harness.job(3, job_class="soon", at=2.0)
     harness.job(4, priority=Priority.PRODUCTION, at=3.0)
@@ -147,9 +152,9 @@
         ({}, {"a": 3}, ["a", "b"], None),
         ({"single_zone": True}, {}, ["a", "b"], None),
         ({"single_zone": True}, {"b": 1}, ["b"], "b"),
-        ({"spread_zones": True, "tasks": 3}, {"a": 1}, ["a", "b"], None),
+        ({"spread_zones": True, "task_count": 3}, {"a": 1}, ["a", "b"], None),
         # at most half of the tasks, rounded up, in the same zone
-        ({"spread_zones": True, "tasks": 3}, {"a": 2}, ["b"], None),
+        ({"spread_zones": True, "task_count": 3}, {"a": 2}, ["b"], None),
     ],
 )
 def test_zones_of_further_tasks(fields, counts, allowed, required):
@@ -210,7 +215,7 @@
 )
 def test_capacity_is_expected_when_its_task_ends(fields, stopping, seconds):
     harness = SchedulerHarness()
-    job = harness.job(resources=BOX.size, **fields)
+    job = harness.job(resources=BOX.capacity, **fields)
     harness.run()
     attempt = next(job.attempts())
     attempt.running_since, attempt.stop_grace_s = 10.0, 0.0 if stopping else None
@@ -224,16 +229,16 @@
     harness = SchedulerHarness([("m1", "a", False), ("m2", "a", False)])
     small = [harness.job(n, team="t1", resources=Resources(10, 2, 50), job_class="soon") for n in (1, 2)]
     assert len(harness.run(0.0)) == 2
-    harness.job(9, kind=JobKind.GANG, tasks=2, resources=Resources(10, 2, 50), single_zone=True, at=1.0)
+    harness.job(9, kind=JobKind.GANG, task_count=2, resources=Resources(10, 2, 50), single_zone=True, at=1.0)
     for turn in range(3, 9):  # each turn a small task ends, and another is submitted
         now = 10.0 * turn
         harness.refresh_heartbeats(now)
         for name, machine in harness.inventory.machines.items():
-            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
+            machine.used = BOX.capacity if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
         harness.job_table.record_attempt_completed(next(small.pop(0).attempts()))
         small.append(harness.job(turn, team="t1", resources=Resources(10, 2, 50), job_class="soon", at=now))
         for name, machine in harness.inventory.machines.items():
-            machine.used = BOX.size if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
+            machine.used = BOX.capacity if harness.job_table.attempts_by_machine.get(name) else ZERO_RESOURCES
         if {job for job, _, _ in harness.run(now)} == {"wk-9"}:
             break
         small = [job for job in small if job.attempt_count]
@@ -244,7 +249,7 @@
 def test_records_of_a_large_array_stay_below_the_size_limit():
     size = tasks_per_page(4096)
     job_table = JobTable(size)
-    job = job_table.load(new_job_record(spec(tasks=100_000), 0.0), 1, 0.0, 0.0)
+    job = job_table.load(new_job_record(spec(task_count=100_000), 0.0), 1, 0.0, 0.0)
     harness = SchedulerHarness()
     machine = harness.inventory.machines["m1"]
     for index in job.next_waiting_indexes(3 * size):
@@ -255,4 +260,4 @@
     assert len(job.pages) == 3 + 1 or len(job.pages) == 3
     for attempt in list(job.attempts()):
         job_table.record_attempt_completed(attempt)
-    assert (job.done_count, job.attempt_count, job.waiting_count) == (3 * size, 0, 100_000 - 3 * size)
+    assert (job.completed_count, job.attempt_count, job.waiting_count) == (3 * size, 0, 100_000 - 3 * size)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -76,7 +76,9 @@
 def test_checker_catches_an_unsafe_scheduler(monkeypatch):
     """A scheduler that treats missed heartbeats as loss starts tasks twice, and the checker reports it."""
     monkeypatch.setattr(
-        MachineHealth, "is_lease_expired", lambda self, machine, now, fenced: now - machine.last_heartbeat_at > 2.0
+        MachineHealth,
+        "is_lease_expired",
+        lambda self, machine, now, fence_effective_at: now - machine.last_heartbeat_at > 2.0,
     )
     rules = {rule for seed in range(50, 56) for _, rule, _ in simulate(seed, gap=6.0)[0].broken}
     assert "ran_twice" in rules
@@ -85,11 +87,11 @@
 def test_checker_catches_answers_that_are_not_counted_as_renewals(monkeypatch):
     """A leader that counts a lease from the machine's heartbeats, not from the answers to them."""
 
-    def shown(self, machine, now, fenced):
+    def shown(self, machine, now, fence_effective_at):
         return (
-            fenced is not None
+            fence_effective_at is not None
             and machine.heartbeat_received
-            and now - max(machine.first_heartbeat_at, fenced) > self.lease_s
+            and now - max(machine.first_heartbeat_at, fence_effective_at) > self.lease_s
         )
 
     monkeypatch.setattr(MachineHealth, "is_lease_expired", shown)
@@ -269,7 +271,7 @@
     cluster = SimulatedCluster(
         seed, machines=200, teams=6, guarantee=50.0, limit=200.0, capacity=(50, 20), limits=limits, copies=0.02
     )
-    replicas = [
+    services = [
         cluster.job(n, desk=f"t{n % 6}", format="service", volumes=6, spread=True, precedence="prod", loanS=0.0)
         for n in range(20)
     ]
@@ -279,7 +281,7 @@
         )
         for n in range(20, 60)
     ] + [cluster.job(n, desk=f"t{n % 6}", volumes=20, loaners=True, bookmarkS=5.0) for n in range(60, 80)]
-    for number, spec in enumerate(replicas + batch):
+    for number, spec in enumerate(services + batch):
         cancel = 1e9 if spec["format"] == "service" else None
         at = number * 0.1 if number < 60 else number * 1.5
         asyncio.get_running_loop().call_later(
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -39,7 +39,7 @@
     stored_value = {**msgspec.json.decode(JOB), **msgspec.json.decode(TASK_PAGE)}
     job = harness.job_table.load(decode_record(stored_value, JobRecord), 7, 100.0, 20.0)
     attempt = next(job.attempts())
-    assert (job.spec.id, job.spec.deadline_s, job.submitted_at, job.done_count) == ("wk-000412", 900.0, 12.5, 1)
+    assert (job.spec.id, job.spec.deadline_s, job.submitted_at, job.completed_count) == ("wk-000412", 900.0, 12.5, 1)
     assert (attempt.index, attempt.number, attempt.machine, attempt.incarnation, attempt.placed_this_term) == (
         2,
         5,
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -15,10 +15,10 @@
         ({"resources": Resources(17, 1, 1)}, True),
         ({"machine_types": ("other",)}, True),
         ({"zone": "z"}, True),
-        ({"tasks": 100}, False),
-        ({"tasks": 9, "kind": JobKind.GANG}, True),
-        ({"tasks": 9, "kind": JobKind.SERVICE}, True),
-        ({"tasks": 8, "kind": JobKind.GANG}, False),
+        ({"task_count": 100}, False),
+        ({"task_count": 9, "kind": JobKind.GANG}, True),
+        ({"task_count": 9, "kind": JobKind.SERVICE}, True),
+        ({"task_count": 8, "kind": JobKind.GANG}, False),
     ],
 )
 def test_jobs_that_can_never_run(fields, refused):
--- a/tools/measure_leader_cpu.py
+++ b/tools/measure_leader_cpu.py
@@ -113,8 +113,8 @@
     if options.admission:
         for owner, name in (
             (AdmissionControl, "decide"),
-            (AdmissionControl, "outgoing"),
-            (AdmissionControl, "received"),
+            (AdmissionControl, "encode_message"),
+            (AdmissionControl, "receive_message"),
             (SlotAllocator, "_allocate"),
             (SlotAllocator, "_encode_pages"),
             (DispatchPrioritizer, "on_pass_completed"),
