--- a/tests/standins/scenarios.py
+++ b/tests/standins/scenarios.py
@@ -30,8 +30,8 @@
 
 def start_workload(cluster):
     """Submit services, arrays whose tasks end far apart, and arrays and gangs bound to one zone."""
-    replicas = {"format": "service", "precedence": "prod", "loanS": 0.0, "spread": len(cluster.zones) > 1}
-    jobs = [(cluster.job(n, volumes=2, **replicas), 1e6) for n in (0, 1)]
+    service_fields = {"format": "service", "precedence": "prod", "loanS": 0.0, "spread": len(cluster.zones) > 1}
+    jobs = [(cluster.job(n, volumes=2, **service_fields), 1e6) for n in (0, 1)]
     jobs += [(cluster.job(n, volumes=3), [4.0, LONG_RUN_S, LONG_RUN_S / 2]) for n in (2, 3)]
     jobs += [(cluster.job(n, volumes=2, samePlace=True), LONG_RUN_S) for n in (4, 5)]
     jobs += [
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -61,7 +61,7 @@
         answers = []
         for controller in cluster.nodes.values():
             controller.node.catalog.types = {
-                "tiny": msgspec.structs.replace(controller.node.catalog.types["box"], size=ZERO_RESOURCES)
+                "tiny": msgspec.structs.replace(controller.node.catalog.types["box"], capacity=ZERO_RESOURCES)
             }
         for number in (0, 99):
             spec = cluster.job(number, format="service", precedence="prod", loanS=0.0)
