--- a/src/passrock/admission/controller/allocator.py
+++ b/src/passrock/admission/controller/allocator.py
@@ -149,8 +149,8 @@
         )
         writes = self.settings.state_write_rps * self.clock.length_s * remaining_fraction * self.pacer.share
         node_count = self.settings.node_count
-        follower = writes * rate_share(leading=False, nodes=node_count) * self.admission.intake_share
-        leader = writes * rate_share(leading=True, nodes=node_count) * self.admission.leader_intake_share
+        follower = writes * rate_share(leading=False, node_count=node_count) * self.admission.intake_share
+        leader = writes * rate_share(leading=True, node_count=node_count) * self.admission.leader_intake_share
         return {node: max(1, math.floor(leader if node == self.settings.node else follower)) for node in nodes}
 
     def _encode_pages(self, allocation: Allocation) -> list[dict[str, Any]]:
--- a/src/passrock/admission/settings.py
+++ b/src/passrock/admission/settings.py
@@ -46,13 +46,13 @@
 MAX_RESERVED_SHARE = 0.8  # limit on interactive_share + burst_share
 
 
-def parse_admission(block: Mapping[str, Any], where: str, faults: list[str]) -> AdmissionSettings:
+def parse_admission(block: Mapping[str, Any], source: str, faults: list[str]) -> AdmissionSettings:
     """Parse and check the block; faults in its entries are appended to ``faults``, with the path of each entry."""
     values: dict[str, Any] = {}
     for key, value in block.items():
         if key.startswith("__"):
             continue  # added by the HCL parser
-        path = f"{where}: admission.{key}"
+        path = f"{source}: admission.{key}"
         if key in RANGES:
             values[key] = _number(value, RANGES[key], path, faults)
         elif key == "log_dir":
@@ -63,7 +63,7 @@
             faults.append(f"{path}: unknown setting")
     settings = AdmissionSettings(**values)
     if settings.interactive_share + settings.burst_share > MAX_RESERVED_SHARE:
-        faults.append(f"{where}: admission: interactive_share and burst_share together exceed {MAX_RESERVED_SHARE}")
+        faults.append(f"{source}: admission: interactive_share and burst_share together exceed {MAX_RESERVED_SHARE}")
     return settings
 
 
--- a/src/passrock/controller/binding_rounds.py
+++ b/src/passrock/controller/binding_rounds.py
@@ -92,12 +92,12 @@
             self._write_task.cancel()
 
     def bring_forward(self) -> None:
-        """Hold the next round early, after a change of demand or machines, but not within the minimum gap."""
+        """Schedule the next round earlier after a change of demand or machines, but not within the minimum gap."""
         earliest = self._last_round_at + self.settings.operator.round_s * MIN_ROUND_GAP_RATIO
         self._due_at = min(self._due_at, max(monotonic_time(), earliest))
 
     def run_if_due(self, now: float) -> None:
-        """Hold a round if it is due."""
+        """Run a round if it is due."""
         if now >= self._due_at:
             self._run(now)
 
@@ -141,7 +141,7 @@
         return MachineView(
             name=machine.name,
             zone=machine.zone,
-            size=machine.type.capacity.gpus / gpus_per_unit,
+            capacity_units=machine.type.capacity.gpus / gpus_per_unit,
             idle=not attempts,
             teams=teams,
         )
@@ -200,7 +200,7 @@
         return {f"{keys.IMAGE_HINTS}{number}": record for number, record in enumerate(hints)}
 
     async def _write(self, changed: dict[str, Any]) -> None:
-        """Write the changed records, reservations first, with the part of the write rate that jobs leave.
+        """Write the changed records, reservations first, with the part of the write rate that job records leave.
 
         A large cluster has dozens of changed records, enough to delay launches and completions for seconds.
         """
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -22,7 +22,7 @@
 
 RETRY_DELAY_S = 0.2
 RECORD_OVERHEAD_BYTES = 700  # estimated size of a record without its attempts
-MAX_TRANSACTION_BYTES = 40_000  # the store accepts 64 KiB; the rest is for conditions and errors of the estimate
+MAX_TRANSACTION_BYTES = 40_000  # the store accepts 64 KiB; the margin covers conditions and errors of the estimate
 MIN_SLEEP_S = 0.001  # prevents a busy loop on rounding errors
 SUBMISSION_WRITE_SHARE = 0.2  # of a full burst, reserved for submissions and cancellations on this node
 MIN_SUBMISSION_WRITES = 2.0  # lower limit of that reserve
@@ -74,17 +74,17 @@
             await self.commit_requested.wait()
             self.commit_requested.clear()
             while self.job_table.uncommitted or self.job_table.finalizing or self.orphaned_keys:
-                transaction = self.build_transaction(await self._wait_for_write_budget())
+                transaction = self.build_transaction(await self._wait_for_write_tokens())
                 if not transaction.writes:
                     break
                 if not await self.commit(transaction):
                     await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _wait_for_write_budget(self) -> int:
-        """Wait until writes are available beyond the reserve for submissions, and return how many.
+    async def _wait_for_write_tokens(self) -> int:
+        """Wait for write tokens beyond the reserve for submissions, and return the transaction's limit on writes.
 
         A transaction of full size would spend a whole second's write rate in advance, and delay submissions and
-        cancellations by as much. If too few writes are available for the time in which a full burst accumulates,
+        cancellations by as much. If too few tokens are available for the time in which a full burst accumulates,
         the full size is returned, and the transaction queues behind the requests that are already waiting.
         """
         write_bucket = self.store.write_bucket
@@ -103,7 +103,7 @@
     def build_transaction(self, limit: int) -> RecordTransaction:
         """Return the next transaction, with up to ``limit`` writes and within the size limit.
 
-        Finished jobs come first. Orphaned records are deleted only in transactions with room that finalize no job.
+        Finished jobs come first. Orphaned records are deleted only in transactions that finalize no job.
         """
         transaction = RecordTransaction({keys.LEADER: self.leader_revision})
         self._add_finalizations(transaction, limit)
--- a/src/passrock/controller/evaluation_loop.py
+++ b/src/passrock/controller/evaluation_loop.py
@@ -99,9 +99,8 @@
         self._detect_process_pause(now)
         if not self.leadership.holds_lease():
             if self.renewal.may_renew():
-                self.failure_detector.delete_machines_with_cancelled_tasks(
-                    now
-                )  # cancel_s also applies during an outage
+                # cancel_s also applies during an outage
+                self.failure_detector.delete_machines_with_cancelled_tasks(now)
             return
         self.fence.update()
         plan_due = now >= self._plan_due_at
@@ -120,7 +119,7 @@
     def _detect_process_pause(self, now: float) -> None:
         """Restart the observation of machines after a pause of this process.
 
-        Heartbeats missed during the pause prove nothing.
+        Heartbeats missed during the pause do not show that a machine has failed.
         """
         if now - self._last_evaluated_at > self.settings.report_s:
             self.inventory.health.observing_since = now
--- a/src/passrock/controller/failure_detector.py
+++ b/src/passrock/controller/failure_detector.py
@@ -134,7 +134,7 @@
             self._resolve_unlisted()
 
     def delete_machines_with_cancelled_tasks(self, now: float) -> None:
-        """Delete unresponsive machines that may hold tasks of cancelled jobs, before ``cancel_s`` is over.
+        """Delete unresponsive machines that may hold tasks of cancelled jobs, before ``cancel_s`` has passed.
 
         A hung machine keeps its tasks beyond its lease, until it resumes or is deleted. So these machines are
         deleted even during a correlated outage or an outage of the key-value store.
--- a/src/passrock/controller/heartbeat_handler.py
+++ b/src/passrock/controller/heartbeat_handler.py
@@ -49,7 +49,7 @@
         self.reconciler = Reconciler(job_table, inventory, leadership.term)
 
     def handle(self, heartbeat: WorkerHeartbeat) -> list[Command] | Awaitable[list[Command] | None] | None:
-        """Return the commands for a worker, whose lease the answer renews; None when it must get no answer.
+        """Return the commands for a worker, whose lease the answer renews; None if the worker must get none.
 
         An unchanged heartbeat is answered at once, since tasks are placed by evaluations. When the heartbeat frees
         capacity, the answer waits for the next evaluation and commit, for a small part of the heartbeat interval, so
--- a/src/passrock/controller/job_lookup.py
+++ b/src/passrock/controller/job_lookup.py
@@ -37,11 +37,11 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """A job's status as shown to users; ``done`` and ``running`` count its tasks."""
+    """A job's status as shown to users; ``completed_count`` and ``running_count`` count its tasks."""
 
     status: str
-    done: int = 0
-    running: int = 0
+    completed_count: int = 0
+    running_count: int = 0
 
 
 class JobLookup:
@@ -94,14 +94,14 @@
             return None
         if self.replica.get(keys.cancellation(job_id)) is not None:
             return JobStatus(CANCELLED)
-        done, running = count_tasks(entry.value)
+        completed_count, running_count = count_tasks(entry.value)
         for number in range(1, math.ceil(total_tasks(entry.value) / self.page_size)):
             page = self.replica.get(keys.task_page(job_id, number))
             if page is not None:
                 counts = count_tasks(page.value)
-                done += counts.completed
-                running += counts.placed
-        return JobStatus(RUNNING if running else QUEUED, done, running)
+                completed_count += counts.completed
+                running_count += counts.placed
+        return JobStatus(RUNNING if running_count else QUEUED, completed_count, running_count)
 
     async def _read_unfinished(self, job_id: str) -> JobStatus | None:
         """Read the store itself, since the replica lags; the cancellation has its own key and is read as well."""
--- a/src/passrock/controller/node.py
+++ b/src/passrock/controller/node.py
@@ -35,7 +35,7 @@
 
 STORE_CONNECTIONS = 12
 FINAL_STATUS_MEMORY_SHARE = 0.03  # of the memory, for final statuses of jobs, cached to answer queries
-FINAL_STATUS_BYTES = 200  # a cached final status
+FINAL_STATUS_BYTES = 200  # memory for each cached final status
 CANCELLATION_RETENTION_RATIO = 4.0  # of cancel_s; all tasks of a cancelled job have ended well before
 PEER_HEARTBEATS_PER_INTERVAL = 3  # per heartbeat interval of workers
 
@@ -86,7 +86,7 @@
         self._set_store_rates(leading=False)
 
     async def run(self) -> None:
-        """Run the background tasks until cancelled; the listening sockets are the caller's."""
+        """Run the background tasks until cancelled; the caller opens the listening sockets."""
         settings = self.settings
         tasks = (
             self.replica.run,
@@ -111,7 +111,7 @@
 
     def _set_store_rates(self, *, leading: bool) -> None:
         """Set this controller's share of the store's rates: the leader needs most, followers divide the rest."""
-        share = rate_share(leading=leading, nodes=self.settings.node_count)
+        share = rate_share(leading=leading, node_count=self.settings.node_count)
         for bucket, rate in (
             (self.store.request_bucket, self.settings.state_rps),
             (self.store.write_bucket, self.settings.state_write_rps),
@@ -150,7 +150,7 @@
         """Pass a committed cancellation, from this node, a peer or the replica, to the leader's job table.
 
         The replica alone is not sufficient: if the store refuses this node right after the commit, its replica never
-        receives the cancellation that it committed itself.
+        receives the cancellation that this node committed.
         """
         if self.leader_term is not None:
             self.leader_term.on_cancellation(job_id, monotonic_time())
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -27,7 +27,7 @@
 RETRY_S = 1.0
 MIN_LIST_INTERVAL_S = 2.0
 UNAVAILABLE_BOOT_RATIO = 0.5  # of the type's boot time: how long an offering without capacity is not requested
-OUTBOUND_TIMEOUT_LEASES = 2  # a listed machine without a heartbeat for this long can't reach the controllers
+OUTBOUND_TIMEOUT_LEASES = 2  # worker leases; a listed machine without a heartbeat for longer reaches no controller
 LISTED_AFTER_LIST_LAGS = 4  # after this time a machine is certain to be in the cloud's list
 
 
--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -30,16 +30,16 @@
         self._next_read: asyncio.Task[bool] | None = None  # scheduled, not sent yet
 
     async def wait(self) -> bool:
-        """Wait for the replica; returns whether it includes all that was committed before this call."""
+        """Wait for the replica; returns whether it includes all commits made before this call."""
         if self._next_read is None:
             self._next_read = asyncio.create_task(self._read())
         return await asyncio.shield(self._next_read)
 
-    def _budget_wait_s(self) -> float:
-        """Return the seconds until a read is within the request rate, beyond the reserve for commits.
+    def _request_token_wait_s(self) -> float:
+        """Return the seconds, limited, until the request bucket has a token beyond the reserve for commits.
 
-        Reads that each reserved a request formed a queue of seconds, which delayed submissions too. So all queries
-        share the scheduled read until it is sent, and at most one read waits at any time.
+        When each query reserved a token, reads queued for seconds and delayed submissions too. So all queries share
+         the scheduled read until it is sent, and at most one read waits at any time.
         """
         request_bucket = self.store.request_bucket
         return min(
@@ -50,7 +50,7 @@
         )
 
     async def _read(self) -> bool:
-        await asyncio.sleep(max(self.min_interval_s, self._budget_wait_s()))
+        await asyncio.sleep(max(self.min_interval_s, self._request_token_wait_s()))
         self._next_read = None  # queries that arrive from now on need a later read
         read_started_at = monotonic_time()
         try:
--- a/src/passrock/controller/record_loader.py
+++ b/src/passrock/controller/record_loader.py
@@ -62,9 +62,9 @@
         if job is not None:
             job_table.cancel(job, earliest_confirmed_at(entry))
     for job in list(job_table.jobs.values()):
-        learned_at = cancellations.added_at(job.spec.id)
-        if learned_at is not None:
-            job_table.cancel(job, learned_at)
+        added_at = cancellations.added_at(job.spec.id)
+        if added_at is not None:
+            job_table.cancel(job, added_at)
         job_table.finish_loading(job)
 
 
--- a/src/passrock/controller/record_transaction.py
+++ b/src/passrock/controller/record_transaction.py
@@ -33,7 +33,7 @@
 
     Attributes:
         conditions: the required ``mod_revision`` of each key; 0 if the key must not exist.
-        orphaned_keys: keys that it deletes because their job has ended.
+        orphaned_keys: keys that the transaction deletes because their job has ended.
     """
 
     conditions: dict[str, int]
@@ -53,7 +53,7 @@
         self.page_writes.append(PageWrite(job, number, page, page.version))
 
     def add_finalization(self, job: Job) -> None:
-        """Add the replacement of a job's record by its final one, as done only if no cancellation is committed."""
+        """Add the replacement of a job's record by its final one; ``DONE`` requires that no cancellation exists."""
         job_id = job.spec.id
         status = CANCELLED if job.cancelled else DONE
         self.conditions[keys.job(job_id)] = job.page(0).mod_revision
--- a/src/passrock/controller/renewal_policy.py
+++ b/src/passrock/controller/renewal_policy.py
@@ -36,7 +36,7 @@
         replica: Replica,
         peers: PeerTable,
     ) -> None:
-        self.nodes = settings.node_count
+        self.node_count = settings.node_count
         self.leadership = leadership
         self.store = store
         self.replica = replica
@@ -101,7 +101,7 @@
             # a peer that has not read the store since its start has lost the terms that it acknowledged
             if heartbeat.replica_loaded and heartbeat.store_down and heartbeat.term == term:
                 votes += 1
-        return is_majority(votes, self.nodes)
+        return is_majority(votes, self.node_count)
 
     def may_renew_leaderless(self, token: int) -> bool:
         """Whether the lease of a worker with this fencing token may be renewed while there is no leader.
@@ -125,7 +125,7 @@
         if not self.store.is_unavailable(now, self.store_down_after_s):
             return False
         heartbeats = self.peers.recent_heartbeats(now)
-        if len(heartbeats) + 1 < self.nodes:
+        if len(heartbeats) + 1 < self.node_count:
             return False
         return all(
             heartbeat.store_down and not heartbeat.leading and heartbeat.term <= token for heartbeat in heartbeats
--- a/src/passrock/controller/state_events.py
+++ b/src/passrock/controller/state_events.py
@@ -68,9 +68,9 @@
             image=job.spec.image,
         )
         self.evaluations.request()
-        learned_at = self.cancellations.added_at(job_id)
-        if learned_at is not None:
-            self.on_cancellation(job_id, learned_at)
+        added_at = self.cancellations.added_at(job_id)
+        if added_at is not None:
+            self.on_cancellation(job_id, added_at)
 
     def on_cancellation(self, job_id: str, confirmed_at: float) -> None:
         """Cancel a job whose cancellation was committed at ``confirmed_at`` (monotonic) or later."""
--- a/src/passrock/controller/submissions.py
+++ b/src/passrock/controller/submissions.py
@@ -94,7 +94,7 @@
     def _next_batch(self) -> list[PendingSubmission]:
         """Remove from the queue what fits into one transaction, each job once."""
         batch: dict[str, PendingSubmission] = {}
-        rest: list[PendingSubmission] = []
+        remaining: list[PendingSubmission] = []
         for pending in self.queue:
             if pending.is_abandoned:
                 continue
@@ -104,8 +104,8 @@
             elif len(batch) < self.batch_limit:
                 batch[pending.spec.id] = pending
             else:
-                rest.append(pending)
-        self.queue = rest
+                remaining.append(pending)
+        self.queue = remaining
         return list(batch.values())
 
     async def _commit(self, batch: list[PendingSubmission]) -> None:
--- a/src/passrock/controller/term_fence.py
+++ b/src/passrock/controller/term_fence.py
@@ -21,10 +21,10 @@
             acknowledged the term.
     """
 
-    def __init__(self, leadership: Leadership, peers: PeerTable, nodes: int) -> None:
+    def __init__(self, leadership: Leadership, peers: PeerTable, node_count: int) -> None:
         self.leadership = leadership
         self.peers = peers
-        self.nodes = nodes
+        self.node_count = node_count
         self.effective_at: float | None = None
 
     def update(self) -> None:
@@ -33,5 +33,5 @@
             return
         term = self.leadership.term
         votes = 1 + sum(1 for heartbeat in self.peers.heartbeats() if heartbeat.term >= term)
-        if is_majority(votes, self.nodes):
+        if is_majority(votes, self.node_count):
             self.effective_at = monotonic_time() + self.peers.answer_validity_s * CLOCK_DRIFT_RATIO
--- a/src/passrock/controller/user_api.py
+++ b/src/passrock/controller/user_api.py
@@ -183,10 +183,10 @@
         job = await self.lookup.find(job_id)
         if job is None:
             return _unknown_job()
-        done = job.done
-        if job.status == DONE and done == 0:
-            done = 1  # the replica keeps the status of an ended job, not its number of tasks
-        return Response(200, wire.encode_full_answer(job_id, job.status, done, job.running))
+        completed_count = job.completed_count
+        if job.status == DONE and completed_count == 0:
+            completed_count = 1  # the replica keeps the status of an ended job, not its number of tasks
+        return Response(200, wire.encode_full_answer(job_id, job.status, completed_count, job.running_count))
 
     async def _cancel(self, job_id: str) -> Response:
         """Commit a cancellation unless the job has ended; repeated requests get the same answer."""
--- a/src/passrock/controller/worker_redirects.py
+++ b/src/passrock/controller/worker_redirects.py
@@ -48,10 +48,10 @@
         highest_term = self.leadership.highest_term
         if token and not self.leadership.leading:
             lost_workers.record_contact(machine, token, leader, highest_term, now)
-        same_leader_as_lost = leader is None or (
+        no_newer_leader = leader is None or (
             leader == lost_workers.leader and highest_term <= lost_workers.leader_term
         )
-        if same_leader_as_lost and lost_workers.should_avoid_leader(machine, now):
+        if no_newer_leader and lost_workers.should_avoid_leader(machine, now):
             return lost_workers.next_follower(self._followers(now), self.node)
         return leader if leader != self.node else None
 
--- a/src/passrock/core/model.py
+++ b/src/passrock/core/model.py
@@ -27,7 +27,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """Resources of a task or a machine, memory in GB; created in large numbers, hence untracked by the cyclic GC."""
+    """Resources of a task or a machine; created in large numbers, hence untracked by the cyclic GC."""
 
     cpus: float
     gpus: float
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -14,14 +14,14 @@
     """A machine as input of a binding round.
 
     Attributes:
-        size: the capacity in relative resource units.
+        capacity_units: the capacity in relative resource units.
         idle: whether no task runs on the machine.
         teams: the teams whose tasks run on the machine.
     """
 
     name: str
     zone: str
-    size: float
+    capacity_units: float
     idle: bool
     teams: frozenset[str] = frozenset()
 
@@ -62,17 +62,17 @@
 
 
 class FreeMachinePool:
-    """Free machines grouped by zone and size, in the order in which they are assigned.
+    """Free machines grouped by zone and capacity, in the order in which they are assigned.
 
     Machines of one group differ only in that order, so a round compares the groups' first machines instead of all
     machines.
     """
 
     def __init__(self, machines: Iterable[MachineView]) -> None:
-        # by zone and size; the next machine to assign is last in its list
+        # by zone and capacity; the next machine to assign is last in its list
         self._groups: dict[tuple[str, float], list[MachineView]] = {}
         for machine in machines:
-            group = self._groups.setdefault((machine.zone, machine.size), [])
+            group = self._groups.setdefault((machine.zone, machine.capacity_units), [])
             group.append(machine)
         for group in self._groups.values():
             group.sort(key=lambda machine: (not machine.idle, machine.name), reverse=True)
@@ -98,17 +98,17 @@
 
     def assign(self, machine: MachineView) -> None:
         """Assign a machine to this reservation."""
-        size = machine.size
+        capacity_units = machine.capacity_units
         self.machines[machine.name] = machine
-        self.capacity_by_zone[machine.zone] = self.capacity_by_zone.get(machine.zone, 0.0) + size
-        self.capacity += size
+        self.capacity_by_zone[machine.zone] = self.capacity_by_zone.get(machine.zone, 0.0) + capacity_units
+        self.capacity += capacity_units
 
     def release(self, machine: MachineView) -> None:
         """Release a machine from this reservation."""
-        size = machine.size
+        capacity_units = machine.capacity_units
         del self.machines[machine.name]
-        self.capacity_by_zone[machine.zone] -= size
-        self.capacity -= size
+        self.capacity_by_zone[machine.zone] -= capacity_units
+        self.capacity -= capacity_units
 
     def target_capacity(self) -> float:
         """Return the capacity that satisfies the request, also when the zone with the most capacity is lost."""
@@ -134,7 +134,7 @@
         while True:
             target = self.target_capacity()
             candidates = [
-                group[-1] for group in groups.values() if group and self.capacity - group[-1].size >= target
+                group[-1] for group in groups.values() if group and self.capacity - group[-1].capacity_units >= target
             ]
             if not candidates:
                 return released
@@ -142,16 +142,16 @@
                 candidates,
                 key=lambda candidate: (candidate.idle, self.capacity_by_zone[candidate.zone], candidate.name),
             )
-            groups[(machine.zone, machine.size)].pop()
+            groups[(machine.zone, machine.capacity_units)].pop()
             self.release(machine)
             released.append(machine)
 
     def _releasable(self) -> dict[tuple[str, float], list[MachineView]]:
-        """Return machines without the team's tasks by zone and size; the last one of each group is released first."""
+        """Return machines without the team's tasks by zone and capacity; the last of each group is released first."""
         releasable = [machine for machine in self.machines.values() if self.request.team not in machine.teams]
         groups: dict[tuple[str, float], list[MachineView]] = {}
         for machine in sorted(releasable, key=lambda candidate: (candidate.idle, candidate.name)):
-            groups.setdefault((machine.zone, machine.size), []).append(machine)
+            groups.setdefault((machine.zone, machine.capacity_units), []).append(machine)
         return groups
 
     def preferred_machine(self, candidates: Iterable[MachineView], zone_share: float | None) -> MachineView:
@@ -164,7 +164,7 @@
 
         def preference(machine: MachineView) -> tuple[bool, bool, float, bool, str]:
             zone_capacity = self.capacity_by_zone.get(machine.zone, 0.0)
-            exceeds_limit = limit is not None and zone_capacity + machine.size > limit
+            exceeds_limit = limit is not None and zone_capacity + machine.capacity_units > limit
             return (
                 exceeds_limit,
                 self.request.team not in machine.teams,
--- a/src/passrock/core/token_bucket.py
+++ b/src/passrock/core/token_bucket.py
@@ -8,11 +8,11 @@
 REJECTION_PENALTY_S = 0.25  # a rejection by the service leaves a deficit of the tokens of this many seconds
 
 
-def rate_share(*, leading: bool, nodes: int) -> float:
+def rate_share(*, leading: bool, node_count: int) -> float:
     """Return a controller's share of the store's rate limits: the leader needs most, followers divide the rest."""
-    if leading or nodes == 1:
+    if leading or node_count == 1:
         return LEADER_SHARE
-    return (1 - LEADER_SHARE) / (nodes - 1)
+    return (1 - LEADER_SHARE) / (node_count - 1)
 
 
 class TokenBucket:
--- a/src/passrock/settings/operator_files.py
+++ b/src/passrock/settings/operator_files.py
@@ -40,12 +40,12 @@
     values: dict[str, float] = {}
     admission: AdmissionSettings | None = None
     for path in paths:
-        where = str(path)
+        source = str(path)
         for key, value in _load_hcl(path, faults).items():
             if key == "admission":
-                admission = _read_admission(admission, value, where, faults)
+                admission = _read_admission(admission, value, source, faults)
             elif not key.startswith(PARSER_METADATA_PREFIX):
-                _read_number(values, key, value, where, faults)
+                _read_number(values, key, value, source, faults)
     return OperatorFiles(OperatorSettings(**values), admission)
 
 
@@ -61,28 +61,28 @@
         return {}
 
 
-def _read_number(values: dict[str, float], key: str, value: object, where: str, faults: list[str]) -> None:
+def _read_number(values: dict[str, float], key: str, value: object, source: str, faults: list[str]) -> None:
     if key not in RANGES:
-        faults.append(f"{where}: {key}: unknown setting")
+        faults.append(f"{source}: {key}: unknown setting")
         return
     if key in values:
-        faults.append(f"{where}: {key}: stands there twice")
+        faults.append(f"{source}: {key}: stands there twice")
     if isinstance(value, bool) or not isinstance(value, int | float):
-        faults.append(f"{where}: {key}: a number is required")
+        faults.append(f"{source}: {key}: a number is required")
         return
     low, high = RANGES[key]
     if not low <= value <= high:
-        faults.append(f"{where}: {key}: {value} is outside {low} to {high}")
+        faults.append(f"{source}: {key}: {value} is outside {low} to {high}")
     values[key] = float(value)
 
 
 def _read_admission(
-    previous: AdmissionSettings | None, value: object, where: str, faults: list[str]
+    previous: AdmissionSettings | None, value: object, source: str, faults: list[str]
 ) -> AdmissionSettings | None:
     from passrock.admission.settings import parse_admission  # not loaded if it is disabled
 
     blocks = value if isinstance(value, list) else [value]
     if previous is not None or len(blocks) != 1 or not isinstance(blocks[0], dict):
-        faults.append(f"{where}: admission: one block is required")
+        faults.append(f"{source}: admission: one block is required")
         return previous
-    return parse_admission(blocks[0], where, faults)
+    return parse_admission(blocks[0], source, faults)
--- a/src/passrock/wire/users.py
+++ b/src/passrock/wire/users.py
@@ -117,9 +117,9 @@
     return cbor.encode({"ref": job_id, "status": status})
 
 
-def encode_full_answer(job_id: str, status: str, done: int, running: int) -> bytes:
+def encode_full_answer(job_id: str, status: str, completed_count: int, running_count: int) -> bytes:
     """Encode the answer to a query of a job, with its numbers of completed and running tasks."""
-    return cbor.encode({"ref": job_id, "status": status, "done": done, "running": running})
+    return cbor.encode({"ref": job_id, "status": status, "done": completed_count, "running": running_count})
 
 
 def encode_error_answer(reason: str) -> bytes:
--- a/tests/standins/admission_load.py
+++ b/tests/standins/admission_load.py
@@ -161,7 +161,7 @@
     body = cbor2.dumps(spec)
     first_at = checker.first_submitted_at.setdefault(job, cluster.now())
     while cluster.now() - first_at < RETRY_FOR_S:
-        asked_at, retry_after_s = cluster.now(), 1.0
+        sent_at, retry_after_s = cluster.now(), 1.0
         try:
             async with asyncio.timeout(5.0):
                 target = node or cluster.rng.choice(cluster.serving())
@@ -171,7 +171,7 @@
         if response is not None:
             if response.status in (200, 201):
                 checker.answered_at.setdefault(job, cluster.now())
-                cluster.checker.on_answer(job, asked_at, response.status, cbor2.loads(response.body), submission=True)
+                cluster.checker.on_answer(job, sent_at, response.status, cbor2.loads(response.body), submission=True)
                 return True
             retry_after_s = max(retry_after_s, response.retry_after or 0.0)
         await asyncio.sleep(retry_after_s)
--- a/tests/test_admission_slots.py
+++ b/tests/test_admission_slots.py
@@ -222,9 +222,9 @@
         retries = [await submit(cluster, checker, spec, node=name) for name in cluster.nodes]
         polls = [(await cluster.request("GET", f"/v2/runs/{spec['ref']}", node=name))[0] for name in cluster.nodes]
         new_job = cluster.job(INTERACTIVE + 1, shelfmark="look")
-        asked = cluster.spawn(submit(cluster, checker, new_job))
+        submission = cluster.spawn(submit(cluster, checker, new_job))
         await asyncio.sleep(2.0)
-        assert not asked.done()
+        assert not submission.done()
         return retries, polls, await cluster.cancel(spec["ref"])
 
     assert virtual_time.run(main()) == ([True] * 3, [200] * 3, True)
@@ -400,9 +400,9 @@
             follower.node.admission.admitter.clock = StaleClock(clock.length_s, past_slot)
         follower.frozen_until = cluster.now() + 3.4 * SLOT_S
         spec = cluster.job(INTERACTIVE, shelfmark="look")
-        asked = cluster.spawn(submit(cluster, checker, spec, node=follower.name))
+        submission = cluster.spawn(submit(cluster, checker, spec, node=follower.name))
         await asyncio.sleep(40.0)
-        return checker, asked.done() and asked.result(), (WARM_UP_S + 3.4 * SLOT_S) // SLOT_S
+        return checker, submission.done() and submission.result(), (WARM_UP_S + 3.4 * SLOT_S) // SLOT_S
 
     checker, accepted, resumed_in_slot = virtual_time.run(main(stale=False))
     ((slot, _),) = checker.admitted
--- a/tests/test_binding_rounds.py
+++ b/tests/test_binding_rounds.py
@@ -16,7 +16,7 @@
     for number, field in enumerate(text.split()):
         field, _, team = field.partition("=")
         name, teams = f"{field.strip('*')}-{number}", frozenset([team] if team else [])
-        views.append(MachineView(name, zone=field[0], size=1.0, idle="*" not in field, teams=teams))
+        views.append(MachineView(name, zone=field[0], capacity_units=1.0, idle="*" not in field, teams=teams))
     return views
 
 
--- a/tests/test_loopback_restart.py
+++ b/tests/test_loopback_restart.py
@@ -21,14 +21,14 @@
                 await asyncio.sleep(0.1)
             await cluster.kill()
             await cluster.start()
-            asked_at = cluster.now()
+            sent_at = cluster.now()
             status, answer = 0, {}
             while status != 200:
                 await asyncio.sleep(0.1)
-                asked_at = cluster.now()
+                sent_at = cluster.now()
                 status, answer = await cluster.request("GET", f"/v2/runs/{array_job['ref']}")
                 assert status != 404
-            cluster.checker.on_answer(array_job["ref"], asked_at, status, answer)
+            cluster.checker.on_answer(array_job["ref"], sent_at, status, answer)
             assert answer["status"] == "done"
             cluster.spawn(cluster.simulate_user(cluster.job(3), run_s=0.5))
             while cluster.done_users < 3:
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -77,9 +77,9 @@
         cluster.spawn(cluster.refuse_store_access(old_leader, 30.0))
         follower = next(name for name in cluster.nodes if name != old_leader)
         cluster.checker.cancel_requested.add("wk-000000")
-        asked = cluster.now()
+        sent_at = cluster.now()
         status, answer = await cluster.request("POST", "/v2/runs/wk-000000/withdraw", node=follower)
-        cluster.checker.on_answer("wk-000000", asked, status, answer)
+        cluster.checker.on_answer("wk-000000", sent_at, status, answer)
         await asyncio.sleep(cluster.limits["cancel_s"])
         return cluster, status, answer["status"]
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -325,15 +325,15 @@
     await asyncio.sleep(6.0)
     await cluster.crash(list(cluster.nodes), 2.0)
     await asyncio.sleep(150.0)  # arrays that allow spot machines wait for them for a while
-    running_replicas = sum(
+    running_service_replicas = sum(
         bool(places) for (job, _), places in cluster.checker.placements.items() if int(job[3:]) < 20
     )
-    return cluster, running_replicas
+    return cluster, running_service_replicas
 
 
 def test_hundreds_of_machines_through_mass_restart_freeze_loss_and_outage():
-    cluster, running_replicas = virtual_time.run(simulate_mass_failures(1))
+    cluster, running_service_replicas = virtual_time.run(simulate_mass_failures(1))
     assert cluster.checker.violations == []
     assert cluster.store.oversized_commits == 0
-    assert running_replicas == 120  # every task of the services runs again
+    assert running_service_replicas == 120  # every task of the services runs again
     assert cluster.done_users == 60  # every other job has ended
