--- a/src/passrock/admission/controller/control.py
+++ b/src/passrock/admission/controller/control.py
@@ -124,7 +124,7 @@
     def _is_in_force(self) -> bool:
         """Whether slots are allocated: false while the leader's heartbeat has no admission extension.
 
-        Such a leader runs with admission switched off. Without any known leader, admission stays in force.
+        Such a leader runs with admission disabled. While no leader is known, admission stays in force.
         """
         if self.leadership.leading:
             return True
@@ -162,7 +162,7 @@
         return self._message
 
     def receive_message(self, node: str, data: bytes) -> None:
-        """Store a peer's demand report; a malformed one is logged and ignored."""
+        """Store a peer's demand report; a malformed report is logged and ignored."""
         try:
             report = decode_demand(node, data)
         except MalformedDemandError as exc:
--- a/src/passrock/admission/controller/outcomes.py
+++ b/src/passrock/admission/controller/outcomes.py
@@ -93,12 +93,12 @@
     total: dict[Flow, FlowDemand] = {}
     for demand in demands:
         for flow, flow_demand in demand.items():
-            known = total.get(flow, FlowDemand())
+            subtotal = total.get(flow, FlowDemand())
             total[flow] = FlowDemand(
-                known.waiting + flow_demand.waiting,
-                known.arriving + flow_demand.arriving,
-                known.refused + flow_demand.refused,
-                max(known.oldest_age_s, flow_demand.oldest_age_s),
+                subtotal.waiting + flow_demand.waiting,
+                subtotal.arriving + flow_demand.arriving,
+                subtotal.refused + flow_demand.refused,
+                max(subtotal.oldest_age_s, flow_demand.oldest_age_s),
             )
     return total
 
--- a/src/passrock/admission/core/allocation.py
+++ b/src/passrock/admission/core/allocation.py
@@ -31,10 +31,11 @@
 
 
 class ReceivedService(msgspec.Struct):
-    """The weighted service that teams and flows have received in excess of the least served one with unmet demand.
+    """The weighted service that teams and flows have received, in excess of the least served.
 
-    The excess is the deficit of the less served flows. It is carried over from slot to slot and, with the
-    allocations, from leader to leader.
+    The least served team or flow is the one with the least service among those with unmet demand. The excess is the
+    deficit of the less served flows. It is carried over from slot to slot and, with the allocations, from leader to
+    leader.
 
     Attributes:
         teams: grants received in proportion to the team's weight.
@@ -75,12 +76,12 @@
     leader: str
     node_grants: dict[str, NodeGrant]
     service: ReceivedService = msgspec.field(default_factory=ReceivedService)
-    settled_through: int = 0  # up to this slot, service counts admitted submissions instead of granted ones
+    settled_through: int = 0  # up to this slot, service counts admitted instead of granted submissions
     last_start_at: dict[Flow, float] = msgspec.field(default_factory=dict)  # wall clock; flows with waiting jobs only
-    pacing_share: float = 1.0  # share of the capacity that the leader could keep up with (RatePacer)
+    pacing_share: float = 1.0  # share of the capacity that RatePacer allows
 
     def granted(self) -> dict[Flow, int]:
-        """The grants of each flow, summed over all controllers."""
+        """Return the grants of each flow, summed over all controllers."""
         total: dict[Flow, int] = {}
         for grant in self.node_grants.values():
             for flow, units in grant.flows.items():
@@ -156,7 +157,7 @@
                 self.flow_age_s[flow] = max(self.flow_age_s.get(flow, 0.0), demand.oldest_age_s)
 
     def _spread_small_flows(self) -> None:
-        """Request at least one unit of each small flow at every controller, since retries may go to any of them.
+        """Request at least one unit of each small flow at every controller, since retries may reach any of them.
 
         A retry in a flow of few submissions would otherwise reach the controller with the grant only by chance, and
         its user might stop retrying before that. Large flows have demand at every controller, or are retried at the
@@ -171,7 +172,7 @@
     def run(self) -> dict[str, NodeGrant]:
         """Grant the whole capacity: first to interactive flows up to their limit, then to all flows.
 
-        What is left is added to the shared reserve of each controller.
+        Ungranted units are added to the shared reserve of their controller.
         """
         interactive = {flow for flow in self.unmet_demand if self.weights.is_interactive(flow)}
         total = sum(self.ungranted.values())
--- a/src/passrock/admission/core/demand.py
+++ b/src/passrock/admission/core/demand.py
@@ -74,12 +74,12 @@
 
     def _stop_waiting(self, job_id: str) -> bool:
         """Stop expecting a retry of a submission; returns whether one was expected."""
-        known = self._waiting.pop(job_id, None)
-        if known is None:
+        deferred = self._waiting.pop(job_id, None)
+        if deferred is None:
             return False
-        self._waiting_by_flow[known.flow] -= 1
-        if self._waiting_by_flow[known.flow] == 0:
-            del self._waiting_by_flow[known.flow]
+        self._waiting_by_flow[deferred.flow] -= 1
+        if self._waiting_by_flow[deferred.flow] == 0:
+            del self._waiting_by_flow[deferred.flow]
         return True
 
     def record_admitted(self, job_id: str, flow: Flow, slot: int) -> None:
@@ -92,9 +92,9 @@
         """Count a submission that was refused and may be retried until ``retry_by``."""
         self._advance_to(slot)
         self._refused[flow] = self._refused.get(flow, 0) + 1
-        known = self._waiting.get(job_id)
-        if known is not None:
-            known.retry_by = retry_by
+        deferred = self._waiting.get(job_id)
+        if deferred is not None:
+            deferred.retry_by = retry_by
             self._waiting.move_to_end(job_id)
             return
         self._arrived[flow] = self._arrived.get(flow, 0) + 1
@@ -151,8 +151,8 @@
         """
         if report.term < term:
             return False
-        known = self._reports.get(report.node)
-        if known is not None and report.recency_key <= known[0].recency_key:
+        stored = self._reports.get(report.node)
+        if stored is not None and report.recency_key <= stored[0].recency_key:
             return False
         self._reports[report.node] = (report, now)
         self._incarnations[report.node] = report.incarnation
--- a/src/passrock/admission/core/rate_pacer.py
+++ b/src/passrock/admission/core/rate_pacer.py
@@ -1,4 +1,4 @@
-"""Limits the admission capacity to what the leader can keep up with: each accepted job costs it further writes."""
+"""Limits the admission capacity to the rate at which the leader can write the records of accepted jobs."""
 
 from __future__ import annotations
 
--- a/src/passrock/admission/core/starvation.py
+++ b/src/passrock/admission/core/starvation.py
@@ -42,7 +42,7 @@
 class StartTracker:
     """The last start of each flow, in wall-clock time.
 
-    A new leader takes the times over from the latest allocation.
+    A new leader restores the times from the latest allocation.
     """
 
     def __init__(self, prioritize_after_s: float) -> None:
--- a/src/passrock/admission/io/decision_log.py
+++ b/src/passrock/admission/io/decision_log.py
@@ -20,7 +20,7 @@
 
 PREFIX = "decisions-"
 SUFFIX = ".avro"
-MAX_FILES = 4  # in a full log; the oldest file is deleted when another one is started
+MAX_FILES = 4  # in a full log; the oldest file is deleted when a new file is started
 BLOCK_DECISIONS = 16  # decisions per Avro block; a block is compressed as a whole
 MAX_QUEUED_BLOCKS = 4  # further blocks are dropped, so that a slow disk costs decisions and not memory
 CODEC = "zstandard"
--- a/src/passrock/admission/report.py
+++ b/src/passrock/admission/report.py
@@ -58,15 +58,15 @@
 def summarize(paths: Iterable[str], begin: float, end: float) -> Report:
     """Summarize the decisions of log files and directories of log files from ``begin`` until before ``end``.
 
-    Each slot counts once; of several decisions on a slot, the one of the latest term counts.
+    Each slot counts once; of several decisions on a slot, the decision of the latest term counts.
     """
     faults: list[str] = []
     decisions: dict[int, Decision] = {}
     for path in _log_paths(paths, faults):
         try:
             for decision in read_file(path):
-                known = decisions.get(decision.slot)
-                if begin <= decision.at < end and (known is None or known.term <= decision.term):
+                earlier = decisions.get(decision.slot)
+                if begin <= decision.at < end and (earlier is None or earlier.term <= decision.term):
                     decisions[decision.slot] = decision
         except DecisionLogError as exc:
             faults.append(str(exc))
--- a/src/passrock/controller/commit_queue.py
+++ b/src/passrock/controller/commit_queue.py
@@ -29,7 +29,7 @@
 
 
 class CommitQueue:
-    """Writes the changed records, on condition that this node still leads.
+    """Writes the changed records, on condition that this node still holds the leader key.
 
     Attributes:
         orphaned_keys: keys of records of finished jobs, which are to be deleted.
--- a/src/passrock/controller/leadership.py
+++ b/src/passrock/controller/leadership.py
@@ -39,7 +39,7 @@
         leader_revision: the leader key's revision in that term; every write of the leader is conditional on it.
         lease_deadline: the monotonic time before which no other node can hold the leader key.
         lease_ttl_s: how long the leader key exists without a renewal.
-        incarnation: distinguishes this process of the node from its earlier ones.
+        incarnation: distinguishes this process of the node from its earlier processes.
     """
 
     def __init__(self, settings: Settings, store: KeyValueStoreClient, replica: Replica, rng: random.Random) -> None:
--- a/src/passrock/controller/provisioner.py
+++ b/src/passrock/controller/provisioner.py
@@ -24,7 +24,7 @@
 from passrock.wire.cloud import MAX_MACHINES_PER_DELETION
 from passrock.wire.store import Delete, Entry, Put
 
-RETRY_S = 1.0
+RETRY_DELAY_S = 1.0
 MIN_LIST_INTERVAL_S = 2.0
 UNAVAILABLE_BOOT_RATIO = 0.5  # of the type's boot time: how long an offering without capacity is not requested
 OUTBOUND_TIMEOUT_LEASES = 2  # worker leases; a listed machine without a heartbeat for longer reaches no controller
@@ -144,7 +144,7 @@
                 machines = ()
             except CloudError as exc:
                 debug("provisioning_failed", request=name, error=exc)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
             info(
                 "machines_provisioned",
@@ -205,7 +205,7 @@
                     await self.cloud.delete_machines(names)
                 except CloudError as exc:
                     debug("machine_deletion_failed", count=len(names), error=exc)
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
                     continue
                 for name in names:
                     self._deletion_queue.pop(name, None)
--- a/src/passrock/core/cancellations.py
+++ b/src/passrock/core/cancellations.py
@@ -40,15 +40,15 @@
     """The jobs whose cancellation is committed, in the order in which this process added them.
 
     A job is added before this controller answers its user. Peers replicate the log slice by slice. Entries older
-    than ``keep_s`` are dropped: by the renewal rule, their tasks ended long before.
+    than ``retention_s`` are dropped: by the renewal rule, their tasks ended long before.
 
     Args:
-        keep_s: seconds for which an entry is kept.
+        retention_s: seconds for which an entry is kept.
         on_added: called with each new job id, whether it came from a user, a peer or the replica.
     """
 
-    def __init__(self, keep_s: float, on_added: Callable[[str], None] | None = None) -> None:
-        self.keep_s = keep_s
+    def __init__(self, retention_s: float, on_added: Callable[[str], None] | None = None) -> None:
+        self.retention_s = retention_s
         self.first = 0  # index of the oldest entry that is kept
         self._on_added = on_added
         self._order: deque[tuple[str, float]] = deque()
@@ -64,13 +64,13 @@
 
     @property
     def total(self) -> int:
-        """The number of entries so far, dropped ones included: the index of the next one."""
+        """The number of entries so far, dropped ones included: the index of the next entry."""
         return self.first + len(self._order)
 
     def add(self, job_id: str, now: float) -> bool:
         """Add a committed cancellation, unless the log contains it; returns whether it was added."""
         with self._lock:
-            while self._order and now - self._order[0][1] > self.keep_s:
+            while self._order and now - self._order[0][1] > self.retention_s:
                 expired_id, _ = self._order.popleft()
                 self._added_at.pop(expired_id, None)
                 self.first += 1
--- a/src/passrock/core/inventory.py
+++ b/src/passrock/core/inventory.py
@@ -56,7 +56,7 @@
         machine = self.add(heartbeat.machine, machine_type, heartbeat.zone, spot=heartbeat.spot, now=now)
         if self._is_outdated(heartbeat, machine, now):
             return None
-        # the first heartbeat after missed ones may have been delayed, so that its answer reaches no worker
+        # the first heartbeat after missing heartbeats may have been delayed, so that its answer reaches no worker
         machine.on_probation = machine.heartbeat_received and self.health.is_unresponsive(machine, now)
         if not machine.heartbeat_received:
             machine.heartbeat_received = True
--- a/src/passrock/core/job_queue.py
+++ b/src/passrock/core/job_queue.py
@@ -41,7 +41,7 @@
 class QueuePosition(NamedTuple):
     """Sort key of a waiting job; the job with the lowest key is placed first.
 
-    Each ``behind_...`` field is False for the jobs of a group and True for all others, so that the group goes first.
+    Each ``behind_...`` field is False for the jobs of a group and True for all others, so that the group is first.
 
     Attributes:
         behind_prioritized: False for jobs that fair admission has prioritized.
@@ -145,7 +145,7 @@
         behind_prioritized = not self.is_prioritized(job)
         behind_production = not rank.is_production
         if self.objectives.is_starving(job, now):
-            # The longest wait goes first; otherwise jobs that have missed all their objectives might wait for ever.
+            # The job with the longest wait is first; otherwise jobs that missed all objectives might wait for ever.
             return QueuePosition(
                 behind_prioritized,
                 behind_production,
--- a/src/passrock/core/job_table.py
+++ b/src/passrock/core/job_table.py
@@ -36,14 +36,14 @@
 
     # -- loading records --------------------------------------------------------------------
 
-    def load(self, record: JobRecord, mod_revision: int, now: float, time_of_day: float) -> Job:
+    def load(self, record: JobRecord, mod_revision: int, now: float, wall_clock_now: float) -> Job:
         """Load a job from its record.
 
         The age of the job is computed from the wall-clock time of its submission. If it were counted from the
         time of loading, the age of every waiting job would restart at each failover.
         """
         spec = record.spec.to_spec()
-        age = max(0.0, time_of_day - record.submitted_at)
+        age = max(0.0, wall_clock_now - record.submitted_at)
         job = Job(spec, record.submitted_at, self.page_size, now - age)
         self.jobs[spec.id] = job
         self.demand_version += 1
@@ -66,10 +66,10 @@
             self._track(attempt)
 
     def finish_loading(self, job: Job) -> None:
-        """Stop an incomplete gang and finalize a job that is over; called once all pages of the job are loaded."""
+        """Stop an incomplete gang and finalize a job that has ended; called once all pages of the job are loaded."""
         if job.spec.kind is JobKind.GANG and 0 < job.attempt_count < job.spec.task_count - job.completed_count:
             self._stop_gang(job)
-        self._finalize_if_over(job)
+        self._finalize_if_ended(job)
 
     # -- queries ----------------------------------------------------------------------------
 
@@ -126,7 +126,7 @@
             job.waiting_since = now
             if job.spec.kind is JobKind.GANG:
                 self._stop_gang(job)
-        self._finalize_if_over(job)
+        self._finalize_if_ended(job)
 
     def record_attempt_completed(self, attempt: TaskAttempt) -> None:
         """Record that a task has completed; a gang as a whole is complete once the first of its tasks is."""
@@ -137,7 +137,7 @@
         indexes = range(job.spec.task_count) if job.spec.kind is JobKind.GANG else [attempt.index]
         for index in indexes:
             self._mark_completed(job, index)
-        self._finalize_if_over(job)
+        self._finalize_if_ended(job)
 
     def record_lease_expired(self, machine_name: str, now: float) -> int:
         """Record that the lease of the machine's worker has expired, and return the number of lost attempts.
@@ -183,7 +183,7 @@
             attempt.stop_grace_s = 0.0
             if attempt.is_unlaunched:
                 self.record_attempt_lost(attempt, job.waiting_since)
-        self._finalize_if_over(job)
+        self._finalize_if_ended(job)
 
     def remove(self, job: Job) -> None:
         """Remove a job whose final record is committed."""
@@ -212,9 +212,9 @@
             self._mark_uncommitted(job, page)
         job.requeued.discard(index)
 
-    def _finalize_if_over(self, job: Job) -> None:
-        is_over = job.cancelled or job.completed_count == job.spec.task_count
-        if is_over and job.attempt_count == 0 and job.final_status is None:
+    def _finalize_if_ended(self, job: Job) -> None:
+        has_ended = job.cancelled or job.completed_count == job.spec.task_count
+        if has_ended and job.attempt_count == 0 and job.final_status is None:
             self.finalizing[job.spec.id] = None
 
     # -- bookkeeping ------------------------------------------------------------------------
--- a/src/passrock/core/machine_catalog.py
+++ b/src/passrock/core/machine_catalog.py
@@ -12,7 +12,7 @@
 
 
 class MachineOffering(msgspec.Struct, frozen=True):
-    """What one request to the cloud can ask for: a machine type in a zone, on-demand or spot."""
+    """The subject of one request to the cloud: a machine type in a zone, on-demand or spot."""
 
     machine_type: str
     zone: str
--- a/src/passrock/core/machine_health.py
+++ b/src/passrock/core/machine_health.py
@@ -55,7 +55,7 @@
     def is_unresponsive(self, machine: Machine, now: float) -> bool:
         """Whether no heartbeat of a machine has arrived for ``unresponsive_after_s``.
 
-        A worker that has not contacted this leader yet may still wait for an answer of the previous one, for which
+        A worker that has not contacted this leader yet may still wait for an answer of the previous leader, for which
         ``discovery_s`` is allowed.
         """
         return now - self.last_seen_at(machine) > self.unresponsive_after_s
--- a/src/passrock/core/messages.py
+++ b/src/passrock/core/messages.py
@@ -64,8 +64,8 @@
     """A worker's heartbeat.
 
     Attributes:
-        incarnation: increases each time the worker's lease expires; a worker starts each one without tasks.
-        sequence: increases with every heartbeat, so that delayed ones are detected.
+        incarnation: increases each time the worker's lease expires; a worker starts each incarnation without tasks.
+        sequence: increases with every heartbeat, so that delayed heartbeats are detected.
         token: the fencing token (term) of the leader whose answer the worker received last.
         reclaim_in_s: seconds until the cloud reclaims the spot instance; None without a preemption notice.
     """
--- a/src/passrock/core/objectives.py
+++ b/src/passrock/core/objectives.py
@@ -107,9 +107,9 @@
         )
 
     def is_starving(self, job: Job, now: float) -> bool:
-        """Whether the job has waited so long that it goes first and machines are held for it.
+        """Whether the job has waited so long that it is placed first and machines are held for it.
 
-        Jobs that already have attempts starve after twice the threshold.
+        A job that already has attempts is starving after twice the threshold.
         """
         return now - job.waiting_since > self.starvation_threshold_s * (1 if job.attempt_count == 0 else 2)
 
--- a/src/passrock/core/records.py
+++ b/src/passrock/core/records.py
@@ -14,7 +14,7 @@
 
 MAX_ATTEMPT_BYTES = 44  # the longest attempt in a record, as JSON
 JOB_HEADER_BYTES = 1200  # reserved in a ``JobRecord`` for everything but its attempts
-OTHER_HEADER_FIELDS_BYTES = 100  # the part of these that is reserved for everything but the specification
+OTHER_HEADER_FIELDS_BYTES = 100  # the part of JOB_HEADER_BYTES for the fields other than the specification
 MAX_SPEC_BYTES = JOB_HEADER_BYTES - OTHER_HEADER_FIELDS_BYTES
 MIN_TASKS_PER_PAGE = 8
 DONE = "done"
@@ -102,7 +102,7 @@
         "resources": "r",
         "image": "i",
         "image_gb": "ig",
-        "types": "ty",
+        "machine_types": "ty",
         "zone": "z",
         "placement": "f",
         "durations": "e",
@@ -120,7 +120,7 @@
     resources: ResourcesRecord
     image: str
     image_gb: float
-    types: list[str] | None
+    machine_types: list[str] | None
     zone: str | None
     placement: PlacementRecord
     durations: DurationsRecord
@@ -139,7 +139,7 @@
             resources=ResourcesRecord(spec.resources.cpus, spec.resources.gpus, spec.resources.memory_gb),
             image=spec.image,
             image_gb=spec.image_gb,
-            types=None if spec.machine_types is None else list(spec.machine_types),
+            machine_types=None if spec.machine_types is None else list(spec.machine_types),
             zone=spec.zone,
             placement=PlacementRecord(spec.single_zone, spec.spread_zones, spec.allows_spot),
             durations=DurationsRecord(spec.estimated_run_s, spec.checkpoint_interval_s, spec.checkpoint_save_s),
@@ -158,7 +158,7 @@
             resources=Resources(self.resources.cpus, self.resources.gpus, self.resources.memory_gb),
             image=self.image,
             image_gb=self.image_gb,
-            machine_types=None if self.types is None else tuple(self.types),
+            machine_types=None if self.machine_types is None else tuple(self.machine_types),
             zone=self.zone,
             single_zone=self.placement.single_zone,
             spread_zones=self.placement.spread_zones,
--- a/src/passrock/core/reservation.py
+++ b/src/passrock/core/reservation.py
@@ -186,8 +186,8 @@
     """Compute one binding round.
 
     Assignments that are still needed are kept, surplus machines are released, and free machines are assigned one by
-    one to the reservation with the largest shortfall: first for the guaranteed capacity of all teams, then for the
-    rest.
+    one to the reservation with the largest shortfall: first for the guaranteed capacity of all teams, then for
+    the capacity beyond it.
 
     Args:
         machines: all machines that can be assigned.
--- a/src/passrock/core/scaling.py
+++ b/src/passrock/core/scaling.py
@@ -17,7 +17,7 @@
 from passrock.core.objectives import ServiceLevelObjectives
 
 MINIMUM_CHARGE_S = 60.0  # the cloud charges a deleted machine for at least this long
-SMALL_ARRAY_TASKS = 64  # up to this many tasks of a job get capacity of their own each, however short they are
+SMALL_ARRAY_TASKS = 64  # up to this many tasks of a job each get capacity of their own, however short they are
 MAX_MACHINES_PER_REQUEST = 50  # the cloud's limit on machines in one request
 
 
@@ -121,7 +121,7 @@
 
 
 def _booting_bins(job_table: JobTable, inventory: MachineInventory, now: float) -> list[CapacityBin]:
-    """Return bins for machines that will soon have capacity: booting ones, and ones expected back without tasks."""
+    """Return bins for machines that will soon have capacity: booting, or expected back without tasks."""
     return [
         _bin(machine, machine.type.capacity)
         for machine in inventory.machines.values()
--- a/src/passrock/core/task_placement.py
+++ b/src/passrock/core/task_placement.py
@@ -36,7 +36,7 @@
     """Places as many of a job's waiting tasks as fit.
 
     Attributes:
-        truncated: whether this pass has placed as many tasks of a job as it may, so that others may be left.
+        truncated: whether this pass has placed as many tasks of a job as it may, so that further tasks may still fit.
     """
 
     def __init__(
--- a/src/passrock/io/cloud.py
+++ b/src/passrock/io/cloud.py
@@ -27,9 +27,9 @@
 class CloudClient:
     """Sends requests to the cloud within the rate limit. All calls raise CloudError."""
 
-    def __init__(self, http: HttpClient, rate_limiter: TokenBucket) -> None:
+    def __init__(self, http: HttpClient, request_bucket: TokenBucket) -> None:
         self.http = http
-        self.rate_limiter = rate_limiter
+        self.request_bucket = request_bucket
 
     async def list_machine_types(self) -> dict[str, MachineType]:
         """Return the machine types by name, with current prices."""
@@ -39,7 +39,7 @@
     async def provision(self, name: str, type_name: str, zone: str, spot: bool, count: int) -> tuple[str, ...]:
         """Request ``count`` machines and return the names of those provisioned, which may be fewer.
 
-        Requests are idempotent by ``name``: a repeated one returns the machines of the first.
+        Requests are idempotent by ``name``: a repeated request returns the machines of the first.
 
         Raises:
             NoCapacityError: no machine is available for this type, zone and kind.
@@ -66,7 +66,7 @@
         return machines
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> bytes:
-        wait = self.rate_limiter.reserve(monotonic_time(), 1)
+        wait = self.request_bucket.reserve(monotonic_time(), 1)
         if wait > 0:
             await asyncio.sleep(wait)
         try:
@@ -75,7 +75,7 @@
             raise CloudError(str(exc)) from exc
         call = f"{method} {path}"
         if status == TOO_MANY_REQUESTS:
-            self.rate_limiter.record_rejection(monotonic_time())
+            self.request_bucket.record_rejection(monotonic_time())
         if status == UNAVAILABLE and b"capacity" in answer:
             raise NoCapacityError(f"no capacity (status {status})", call=call)
         if status != OK:
--- a/src/passrock/io/http_server.py
+++ b/src/passrock/io/http_server.py
@@ -73,7 +73,7 @@
 
 
 class HttpServer:
-    """Serves one listening address, with a limit on connections and time-outs for idle and slow ones.
+    """Serves one listening address, with a limit on connections and time-outs for idle and slow connections.
 
     Args:
         handler: answers each request, at once or later.
@@ -108,7 +108,7 @@
         loop.call_later(self.request_timeout_s / 2, self.sweep)
 
     def evict_idle_if_full(self) -> bool:
-        """Return whether a connection may be added; at the limit, close the one that has been idle longest."""
+        """Return whether a connection may be added; at the limit, close the connection that has been idle longest."""
         if len(self.connections) < self.connection_limit:
             return True
         idle = [connection for connection in self.connections if connection.idle]
--- a/src/passrock/io/peer_link.py
+++ b/src/passrock/io/peer_link.py
@@ -37,7 +37,7 @@
     waiting_since: float | None
 
     def subscribe(self, listener: Callable[[PeerAnswer], None]) -> None:
-        """Have ``listener`` called with each answer."""
+        """Call ``listener`` with each answer."""
 
     async def send_heartbeat(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
         """Send a heartbeat; ``timeout``, in seconds, bounds the wait for a connection."""
@@ -99,7 +99,7 @@
         self._requested_at: deque[float] = deque()  # send times of the unanswered requests on this connection
 
     def subscribe(self, listener: Callable[[PeerAnswer], None]) -> None:
-        """Have ``listener`` called with each answer."""
+        """Call ``listener`` with each answer."""
         self._listeners.append(listener)
 
     async def send_heartbeat(self, heartbeat: PeerHeartbeat, timeout: float) -> None:
--- a/src/passrock/io/peer_messages.py
+++ b/src/passrock/io/peer_messages.py
@@ -31,7 +31,7 @@
         store_down: whether the key-value store is unavailable to the sender.
         replica_loaded: whether the sender has read the key-value store since its start.
         redirected_workers: how many workers that have observed ``term`` the sender redirected recently.
-        incarnation: distinguishes this process of the node from its former ones.
+        incarnation: distinguishes this process of the node from its earlier processes.
         staleness_s: the sender has every cancellation that any controller confirmed this many seconds ago or earlier;
             None when it has no such bound.
         applied_incarnation: the incarnation of the receiver whose log of cancellations the sender applies.
--- a/src/passrock/io/peers.py
+++ b/src/passrock/io/peers.py
@@ -20,16 +20,16 @@
 MIN_ANSWER_VALIDITY_S = 1.0  # lower bound, however short the heartbeat interval
 
 
-def is_majority(votes: int, controllers: int) -> bool:
+def is_majority(votes: int, node_count: int) -> bool:
     """Whether ``votes`` are more than half of all controllers, including this one."""
-    return votes * 2 > controllers
+    return votes * 2 > node_count
 
 
 class PeerTable:
     """The last answer of each peer, and how far its log of cancellations has been applied locally.
 
     Attributes:
-        links: one for each peer.
+        links: one link for each peer.
         answer_validity_s: how many seconds after its request an answer remains valid.
         progress: how far the log of cancellations of each peer has been applied, in the order of the links.
     """
@@ -134,7 +134,7 @@
         )
 
     def reply(self, heartbeat: PeerHeartbeat) -> PeerHeartbeat:
-        """Process a peer's heartbeat; return this controller's, with the cancellations that the peer lacks."""
+        """Process a peer's heartbeat; return this controller's with the cancellations that the peer lacks."""
         self._receive(heartbeat)
         answer = self.heartbeat()
         index = heartbeat.applied if heartbeat.applied_incarnation == answer.incarnation else 0
--- a/src/passrock/serving.py
+++ b/src/passrock/serving.py
@@ -1,4 +1,4 @@
-"""Start of a controller from its settings files; the exit code tells invalid settings from other failures."""
+"""Start of a controller from its settings files; the exit code distinguishes invalid settings from other failures."""
 
 from __future__ import annotations
 
--- a/src/passrock/settings/model.py
+++ b/src/passrock/settings/model.py
@@ -78,10 +78,10 @@
 
     @property
     def node_count(self) -> int:
-        """Return the number of controllers, including this one."""
+        """The number of controllers, including this one."""
         return len(self.peers) + 1
 
     @property
     def leader_lease_s(self) -> float:
-        """Return the duration of the lease on the leader key."""
+        """The duration of the lease on the leader key."""
         return self.lease_s * self.operator.leader_lease_ratio
--- a/src/passrock/settings/table_reader.py
+++ b/src/passrock/settings/table_reader.py
@@ -29,7 +29,7 @@
         self.faults.append(f"{self.path}{key}: {message}")
 
     def subtable(self, key: str) -> TableReader:
-        """Return a reader of a nested table; if it is missing or not a table, a reader of an empty one."""
+        """Return a reader of a nested table; if it is missing or not a table, a reader of an empty table."""
         value = self.table.get(key)
         if not isinstance(value, dict):
             self.add_fault(key, "a table is required")
--- a/src/passrock/wire/store.py
+++ b/src/passrock/wire/store.py
@@ -11,7 +11,7 @@
 LEASES_PATH = "/leases"
 COMMIT_PATH = "/commit"
 MAX_PAGE_KEYS = 1000
-TRANSACTION_VALUE_BYTES = 56 * 1024  # for values; the rest of the limit of 64 KiB is for keys and conditions
+TRANSACTION_VALUE_BYTES = 56 * 1024  # for values; the limit of 64 KiB also covers keys and conditions
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -179,7 +179,7 @@
 
 
 def parse_lease(body: bytes) -> int:
-    """Return the number of a new lease."""
+    """Return the id of a new lease."""
     return cbor.decode(body, _LeaseAnswer).lease
 
 
--- a/src/passrock/wire/workers.py
+++ b/src/passrock/wire/workers.py
@@ -122,5 +122,5 @@
 
 
 def encode_redirect(node: str | None) -> bytes:
-    """Encode the body of an answer with status 421: the controller to contact, where one is known."""
+    """Encode the body of an answer with status 421: the controller to contact, if there is one."""
     return cbor.encode({} if node is None else {"returnDesk": node})
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -31,7 +31,7 @@
 
 
 def test_entries_are_dropped_after_their_retention():
-    log = CancellationLog(keep_s=10.0)
+    log = CancellationLog(retention_s=10.0)
     assert [log.add(job, at) for job, at in (("a", 0.0), ("b", 5.0), ("a", 6.0), ("c", 12.0))] == [1, 1, 0, 1]
     assert (log.first, log.total) == (1, 3)
     assert "a" not in log
@@ -45,7 +45,7 @@
 
 def test_the_listener_is_called_once_for_each_entry():
     added = []
-    log = CancellationLog(keep_s=10.0, on_added=added.append)
+    log = CancellationLog(retention_s=10.0, on_added=added.append)
     for job in ("a", "b", "a"):
         log.add(job, 0.0)
     assert added == ["a", "b"]
--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -346,7 +346,7 @@
         inventory.record_deleted(f"host-{number:06d}", float(number))
     assert len(inventory.deleted) == MAX_DELETED_NAMES
     assert "host-000000" not in inventory.deleted
-    cancellation_log = CancellationLog(keep_s=60.0)
+    cancellation_log = CancellationLog(retention_s=60.0)
     for second in range(1000):
         cancellation_log.add(f"wk-{second}", float(second))
     assert cancellation_log.total == 1000
