--- a/tests/test_safety_invariants.py
+++ b/tests/test_safety_invariants.py
@@ -77,9 +77,9 @@
         cluster.spawn(cluster.refuse_store_access(old_leader, 30.0))
         follower = next(name for name in cluster.nodes if name != old_leader)
         cluster.checker.cancel_requested.add("wk-000000")
-        asked = cluster.now()
+        sent_at = cluster.now()
         status, answer = await cluster.request("POST", "/v2/runs/wk-000000/withdraw", node=follower)
-        cluster.checker.on_answer("wk-000000", asked, status, answer)
+        cluster.checker.on_answer("wk-000000", sent_at, status, answer)
         await asyncio.sleep(cluster.limits["cancel_s"])
         return cluster, status, answer["status"]
 
@@ -346,7 +346,7 @@
         inventory.record_deleted(f"host-{number:06d}", float(number))
     assert len(inventory.deleted) == MAX_DELETED_NAMES
     assert "host-000000" not in inventory.deleted
-    cancellation_log = CancellationLog(keep_s=60.0)
+    cancellation_log = CancellationLog(retention_s=60.0)
     for second in range(1000):
         cancellation_log.add(f"wk-{second}", float(second))
     assert cancellation_log.total == 1000
