--- a/src/passrock/controller/read_fence.py
+++ b/src/passrock/controller/read_fence.py
@@ -39,7 +39,7 @@
         """Return the seconds, limited, until the request bucket has a token beyond the reserve for commits.
 
         When each query reserved a token, reads queued for seconds and delayed submissions too. So all queries share
-         the scheduled read until it is sent, and at most one read waits at any time.
+        the scheduled read until it is sent, and at most one read waits at any time.
         """
         request_bucket = self.store.request_bucket
         return min(
